--- a/packages/keeper/src/begin-answers.ts
+++ b/packages/keeper/src/begin-answers.ts
@@ -7,7 +7,7 @@
 } from '@wisteriadeal/schema';
 
 /**
- * An answer to a begun request.
+ * Creates the answer to a `BeginRequest`.
  *
  * @example
  * ```ts
@@ -17,13 +17,13 @@
 export function beginAnswer(
   begin: BeginRequest,
   verdict: BeginVerdict,
-  more: Omit<
+  fields: Omit<
     MessageInitShape<typeof BeginAnswerSchema>,
     'sequence' | 'requestId' | 'verdict' | '$typeName'
   > = {},
 ): BeginAnswer {
   return create(BeginAnswerSchema, {
-    ...more,
+    ...fields,
     sequence: begin.sequence,
     requestId: begin.requestId,
     verdict,
--- a/packages/keeper/src/bill-observer.ts
+++ b/packages/keeper/src/bill-observer.ts
@@ -5,15 +5,18 @@
 import {LedgerListener, type FoldedEntry} from './ledger-replica.js';
 import {DEMAND_HALF_LIFE_MILLISECONDS} from './organisation-grants.js';
 
-/** Bills kept in detail for explanations, an organisation. */
-const KEPT_BILLS = 2_000;
+/** Bills kept in memory per organisation for explanations; older ones are dropped. */
+const MAXIMUM_BILLS_PER_ORGANISATION = 2_000;
 
 interface ObservedOrganisation {
   readonly rate: RateEstimate;
   readonly bills: Map<string, Bill>;
 }
 
-/** What the bills on the log tell: demand everywhere, and details for people. */
+/**
+ * Collects the bills on the log: the token demand per organisation across all
+ * holders, and the latest bills for explanations.
+ */
 export class BillObserver extends LedgerListener {
   private readonly organisations = new Map<string, ObservedOrganisation>();
 
@@ -21,24 +24,25 @@
     super();
   }
 
-  override folded({entry, verdict}: FoldedEntry): void {
+  override entryFolded({entry, verdict}: FoldedEntry): void {
     if (verdict.kind !== VerdictKind.Accepted) {
       return;
     }
     if (entry.kind.case === 'bill') {
-      this.observe(entry.organisation, entry.kind.value);
+      this.recordBill(entry.organisation, entry.kind.value);
     } else if (entry.kind.case === 'reclaim') {
       for (const bill of entry.kind.value.settled) {
-        this.observe(entry.organisation, bill);
+        this.recordBill(entry.organisation, bill);
       }
     }
   }
 
-  override restored(): void {
-    // The details of skipped bills are gone; their amounts are in the state.
+  override checkpointRestored(): void {
+    // A checkpoint holds the billed amounts but not the skipped bills, so these
+    // can't be listed.
   }
 
-  /** Tokens billed a second lately, by all holders together. */
+  /** Recently billed tokens per second, summed over all holders. */
   demandTokensPerSecond(organisation: string): number {
     return (
       this.organisations
@@ -47,12 +51,12 @@
     );
   }
 
-  /** The latest bills, newest last. */
+  /** Returns the latest bills of an organisation, newest last. */
   billsOf(organisation: string): readonly Bill[] {
     return [...(this.organisations.get(organisation)?.bills.values() ?? [])];
   }
 
-  /** The bill of a request with its organisation. */
+  /** Returns the bill of a request with its organisation. */
   billOf(
     requestId: string,
   ): {readonly organisation: string; readonly bill: Bill} | undefined {
@@ -65,7 +69,7 @@
     return undefined;
   }
 
-  private observe(organisation: string, bill: Bill): void {
+  private recordBill(organisation: string, bill: Bill): void {
     let observed = this.organisations.get(organisation);
     if (observed === undefined) {
       observed = {
@@ -80,7 +84,7 @@
     observed.rate.add(bill.tokens, this.clock.monotonicMilliseconds());
     observed.bills.set(bill.requestId, bill);
     for (const requestId of observed.bills.keys()) {
-      if (observed.bills.size <= KEPT_BILLS) {
+      if (observed.bills.size <= MAXIMUM_BILLS_PER_ORGANISATION) {
         return;
       }
       observed.bills.delete(requestId);
--- a/packages/keeper/src/book-replicator.ts
+++ b/packages/keeper/src/book-replicator.ts
@@ -10,10 +10,10 @@
 import {Acknowledgement} from './witness-link.js';
 import type {WitnessLinks} from './witness-links.js';
 
-/** A lone host's reservation waits so long for the log. */
-const WRITE_AHEAD_LIMIT_MILLISECONDS = 2_000;
+/** How long a reservation without a witness waits for its log entry. */
+const WRITE_AHEAD_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Makes changes of the holder's books known to a second place. */
+/** Replicates changes of the holder's books to a witness or to the log. */
 export class BookReplicator {
   constructor(
     private readonly links: WitnessLinks,
@@ -25,52 +25,62 @@
   ) {}
 
   /**
-   * Sends a change and waits until it is known elsewhere. Only `Applied` allows
-   * what the change says.
+   * Sends a change and waits until a second place has stored it. The caller may
+   * act on the change only if the result is `Applied`.
    */
   async commit(
     holding: GrantHolding,
     change: BookChange,
   ): Promise<Acknowledgement> {
-    // A candidate alone does not count: until the log names it, it can't reclaim
-    // the grant, and what it acknowledged would have no bill if the holder died.
+    // The acknowledgement of a candidate alone is not sufficient: until the log
+    // names it as the witness, it can't reclaim the grant, and requests that it
+    // acknowledged would get no bill if the holder died.
     const answers = await Promise.all([
-      ...holding.witnesses.map(witness => this.send(holding, witness, change)),
-      ...(holding.witness === '' ? [this.withoutWitness(holding, change)] : []),
+      ...holding.witnesses.map(witness =>
+        this.sendToWitness(holding, witness, change),
+      ),
+      ...(holding.witness === ''
+        ? [this.commitWithoutWitness(holding, change)]
+        : []),
     ]);
     if (holding.isClosed || answers.includes(Acknowledgement.Fenced)) {
       return Acknowledgement.Fenced;
     }
-    return answers.includes(Acknowledgement.Lost)
-      ? Acknowledgement.Lost
+    return answers.includes(Acknowledgement.Unconfirmed)
+      ? Acknowledgement.Unconfirmed
       : Acknowledgement.Applied;
   }
 
-  private async send(
+  private async sendToWitness(
     holding: GrantHolding,
     witness: string,
     change: BookChange,
   ): Promise<Acknowledgement> {
-    const link = this.links.to(witness);
+    const link = this.links.linkTo(witness);
     if (link === undefined) {
-      return Acknowledgement.Lost;
+      return Acknowledgement.Unconfirmed;
     }
     let answer = await link.send(change);
-    if (answer === Acknowledgement.Unknown) {
-      // The whole book has the change in it.
+    if (answer === Acknowledgement.UnknownGrant) {
+      // The full book includes the change.
       answer = await link.send(holding.book.opened());
     }
-    holding.answered(witness, answer);
-    return answer === Acknowledgement.Unknown ? Acknowledgement.Lost : answer;
+    holding.recordAcknowledgement(witness, answer);
+    return answer === Acknowledgement.UnknownGrant
+      ? Acknowledgement.Unconfirmed
+      : answer;
   }
 
   /**
-   * A grant without a witness can't be reclaimed, so its budget is safe whoever
-   * dies; at stake are the details of a bill. Where the organisation wants clear
-   * books, the reservation goes to the log first, and without the log it is
-   * refused; where it wants few refusals, the request goes on.
+   * Commits a change of a grant that has no witness.
+   *
+   * Such a grant can't be reclaimed, so its budget can't be overspent if a host
+   * dies; only the details of a bill can be lost. With `AVOID_UNCLEAR_BILLS`, the
+   * reservation is written to the log first and refused if that fails or times
+   * out. With `AVOID_REFUSALS`, the request continues if the log is unreachable
+   * or does not confirm the entry in time.
    */
-  private async withoutWitness(
+  private async commitWithoutWitness(
     holding: GrantHolding,
     change: BookChange,
   ): Promise<Acknowledgement> {
@@ -78,12 +88,12 @@
     if (kind.case !== 'reserved' || kind.value.reservation === undefined) {
       return Acknowledgement.Applied;
     }
-    const otherwise =
+    const fallback =
       this.preferenceOf(organisation) === BudgetPreference.AVOID_REFUSALS
         ? Acknowledgement.Applied
-        : Acknowledgement.Lost;
+        : Acknowledgement.Unconfirmed;
     if (!this.health.isReachable(this.replicas.streamOf(organisation))) {
-      return otherwise;
+      return fallback;
     }
     const {reservation} = kind.value;
     const written = this.appender
@@ -99,15 +109,15 @@
           return Acknowledgement.Fenced;
         }
         return verdict.kind === VerdictKind.Refused
-          ? Acknowledgement.Lost
+          ? Acknowledgement.Unconfirmed
           : Acknowledgement.Applied;
       });
-    const ended = new AbortController();
-    const limit = this.clock
-      .sleep(WRITE_AHEAD_LIMIT_MILLISECONDS, ended.signal)
-      .then(() => otherwise);
-    const first = await Promise.race([written, limit]);
-    ended.abort();
+    const timeoutController = new AbortController();
+    const timeout = this.clock
+      .sleep(WRITE_AHEAD_TIMEOUT_MILLISECONDS, timeoutController.signal)
+      .then(() => fallback);
+    const first = await Promise.race([written, timeout]);
+    timeoutController.abort();
     holding.isClosed ||= first === Acknowledgement.Fenced;
     return first;
   }
--- a/packages/keeper/src/checkpoint-writer.ts
+++ b/packages/keeper/src/checkpoint-writer.ts
@@ -7,28 +7,29 @@
 import type {StreamReplica} from './stream-replica.js';
 
 /**
- * Appends a checkpoint of each stream after so many records, so that a fresh
- * reader can start after the older ones have expired. Rendezvous hashing names
- * one writer, for efficiency only: a second checkpoint does no harm.
+ * Appends a checkpoint to each stream every `recordsPerCheckpoint` records, so
+ * that a new reader can start after older records have expired. Rendezvous
+ * hashing selects one writer per stream. This only saves work: duplicate
+ * checkpoints are harmless.
  */
 export class CheckpointWriter {
-  private readonly writtenAt = new Map<string, number>();
+  private readonly lastCheckpointOffsets = new Map<string, number>();
 
   constructor(
     private readonly membership: MembershipTable,
     private readonly replicas: readonly StreamReplica[],
     private readonly log: LogClient,
     private readonly health: PlatformHealth,
-    private readonly everyRecords: number,
+    private readonly recordsPerCheckpoint: number,
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Writes what is due. */
-  async review(signal: AbortSignal): Promise<void> {
+  /** Writes a checkpoint for each stream that needs one. */
+  async writeDueCheckpoints(signal: AbortSignal): Promise<void> {
     for (const replica of this.replicas) {
-      const last = this.writtenAt.get(replica.stream) ?? 0;
+      const last = this.lastCheckpointOffsets.get(replica.stream) ?? 0;
       if (
-        replica.nextOffset - last >= this.everyRecords &&
+        replica.nextOffset - last >= this.recordsPerCheckpoint &&
         this.health.isReachable(replica.stream) &&
         this.isWriter(replica.stream)
       ) {
@@ -52,9 +53,9 @@
   ): Promise<void> {
     const {stream, nextOffset} = replica;
     const {incarnation} = this.membership.self;
-    // Counted before the append: where its answer is lost, the record may stand,
-    // and the next one comes after the usual number of records.
-    this.writtenAt.set(stream, nextOffset);
+    // Set before the append: if the answer is lost, the record may have been
+    // stored. The next checkpoint then follows after the usual number of records.
+    this.lastCheckpointOffsets.set(stream, nextOffset);
     try {
       await this.log.append(stream, replica.checkpoint(incarnation), signal);
       this.eventLog.info('checkpoint written', {stream, offset: nextOffset});
--- a/packages/keeper/src/claim-service.ts
+++ b/packages/keeper/src/claim-service.ts
@@ -8,23 +8,25 @@
 import type {PlatformHealth} from './platform-health.js';
 import type {RequestRegistry} from './request-registry.js';
 
-/** A caller waits at most this long for the log to settle a claim. */
-const CLAIM_LIMIT_MILLISECONDS = 3_000;
+/** How long a caller waits at most until the log has decided its claim. */
+const CLAIM_TIMEOUT_MILLISECONDS = 3_000;
 
-/** How a claim ended. */
+/** The result of a claim. */
 export enum ClaimOutcome {
   Won = 'won',
   Lost = 'lost',
-  /** The log can't be reached in time; the request was not dispatched. */
-  Unsettled = 'unsettled',
+  /** The log did not decide the claim in time; the request was not dispatched. */
+  Undecided = 'undecided',
 }
 
 /**
- * Settles who may run a non-idempotent request with a caller's own key.
+ * Decides which router may run a non-idempotent request with an idempotency key
+ * that the caller chose.
  *
- * The failure it meets: the same key arrives in two data centres. Both append a
- * claim before anything is dispatched; the first in log order wins, and a lost
- * answer of the append is resolved by reading on.
+ * The same key can arrive in two data centres at once. Each appends a claim to
+ * the log before it dispatches the request, and the first claim in log order
+ * wins. If the answer to an append is lost, its result is found by reading the
+ * log.
  */
 export class ClaimService {
   constructor(
@@ -35,7 +37,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** The claim in force of a request. */
+  /** Returns the claim in force for a request. */
   claimOf(organisation: string, requestId: string): ClaimState | undefined {
     return this.replicas.ledgerOf(organisation).claim(organisation, requestId);
   }
@@ -43,27 +45,28 @@
   /** Claims a request for a router. */
   async claim(begin: BeginRequest, router: string): Promise<ClaimOutcome> {
     const {organisation, requestId} = begin;
-    if (this.registry.takeUnusedClaim(requestId)) {
+    if (this.registry.consumeUnusedClaim(requestId)) {
       return ClaimOutcome.Won;
     }
     const existing = this.claimOf(organisation, requestId);
     if (existing !== undefined) {
-      return this.goesOn(existing, begin, router)
+      return this.canReuseClaim(existing, begin, router)
         ? ClaimOutcome.Won
         : ClaimOutcome.Lost;
     }
     if (!this.health.isReachable(this.replicas.streamOf(organisation))) {
-      return ClaimOutcome.Unsettled;
+      return ClaimOutcome.Undecided;
     }
-    return this.settle(begin, router);
+    return this.appendClaim(begin, router);
   }
 
   /**
-   * A holder died after the claim was won and before its router heard of it: the
-   * claim names a router that waits for nothing. Only that router may run the
-   * request, and it alone knows that it never did, so its word is enough.
+   * Whether a router may use a claim that it already has on the log. This happens
+   * if a holder dies after the claim was won and before its router was told. Only
+   * that router may run the request, and only it can tell that it has not, so its
+   * `claimUnused` flag is sufficient.
    */
-  private goesOn(
+  private canReuseClaim(
     existing: ClaimState,
     begin: BeginRequest,
     router: string,
@@ -75,13 +78,13 @@
     );
   }
 
-  private async settle(
+  private async appendClaim(
     begin: BeginRequest,
     router: string,
   ): Promise<ClaimOutcome> {
     const {organisation, requestId, fingerprint, attemptId} = begin;
     let waiting = true;
-    const settled = this.appender
+    const decided = this.appender
       .submit(
         ledgerEntry(`claim:${requestId}:${attemptId}`, organisation, {
           case: 'claim',
@@ -91,18 +94,19 @@
       .then(({verdict}) => {
         const won = verdict.kind !== VerdictKind.Refused;
         if (won && !waiting) {
-          // Won after the caller was refused: it never ran, and may still.
-          this.registry.noteUnusedClaim(requestId);
+          // The claim was won after the timeout. The request was refused and
+          // never ran, so a retry may still use the claim.
+          this.registry.addUnusedClaim(requestId);
         }
         return won ? ClaimOutcome.Won : ClaimOutcome.Lost;
       });
-    const ended = new AbortController();
-    const limit = this.clock
-      .sleep(CLAIM_LIMIT_MILLISECONDS, ended.signal)
-      .then(() => ClaimOutcome.Unsettled);
-    const first = await Promise.race([settled, limit]);
+    const timeoutController = new AbortController();
+    const timeout = this.clock
+      .sleep(CLAIM_TIMEOUT_MILLISECONDS, timeoutController.signal)
+      .then(() => ClaimOutcome.Undecided);
+    const first = await Promise.race([decided, timeout]);
     waiting = false;
-    ended.abort();
+    timeoutController.abort();
     return first;
   }
 }
--- a/packages/keeper/src/composition.ts
+++ b/packages/keeper/src/composition.ts
@@ -21,15 +21,15 @@
 import {LogLevel, type KeeperSettings} from '@wisteriadeal/schema';
 import {Container, type ServiceIdentifier} from 'inversify';
 
-import type {KeeperSurroundings} from './keeper-parts.js';
+import type {KeeperDependencies} from './keeper-parts.js';
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 2_000;
-/** The class itself can't serve: its constructor is private. */
+/** The class can't be the service identifier, since its constructor is private. */
 const EVENT_LOG: ServiceIdentifier<EventLog> = Symbol.for('EventLog');
 
 /**
- * Binds what a keeper takes from outside to its adapters: the one place to
- * change when an adapter is replaced.
+ * Binds the external dependencies of a keeper to their adapters. This is the
+ * only place to change when an adapter is replaced.
  *
  * @example
  * ```ts
@@ -80,8 +80,8 @@
   return container;
 }
 
-/** Takes everything that a keeper needs from a container. */
-export function surroundingsOf(container: Container): KeeperSurroundings {
+/** Resolves all dependencies of a keeper from a container. */
+export function keeperDependencies(container: Container): KeeperDependencies {
   return {
     log: container.get(LogClient),
     hostList: container.get(HostList),
--- a/packages/keeper/src/configuration-replica.ts
+++ b/packages/keeper/src/configuration-replica.ts
@@ -9,10 +9,10 @@
 
 import {StreamReplica} from './stream-replica.js';
 
-/** Name of the stream of publications. */
+/** Name of the stream of configuration publications. */
 export const CONFIGURATION_STREAM = 'configuration';
 
-/** The stream `configuration`. */
+/** The folded state of the stream `configuration`. */
 export class ConfigurationReplica extends StreamReplica {
   private state = new ConfigurationFold();
   private readonly listeners: (() => void)[] = [];
@@ -25,18 +25,18 @@
     return this.state.nextOffset;
   }
 
-  /** 0 before the first accepted publication. */
+  /** Version of the configuration in force; 0 before the first accepted publication. */
   get version(): number {
     return this.state.version;
   }
 
-  /** The configuration in force; it must not be changed. */
+  /** The configuration in force. Callers must not modify it. */
   get configuration(): Configuration | undefined {
     return this.state.configuration;
   }
 
-  /** Calls back whenever another version is in force. */
-  listen(listener: () => void): void {
+  /** Adds a listener that is called whenever the version in force changes. */
+  addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
@@ -58,7 +58,7 @@
     if (restored === undefined) {
       return false;
     }
-    this.replace(restored);
+    this.replaceState(restored);
     return true;
   }
 
@@ -78,7 +78,7 @@
     }
   }
 
-  private replace(restored: ConfigurationFold): void {
+  private replaceState(restored: ConfigurationFold): void {
     const before = this.version;
     this.state = restored;
     this.recent.clear();
--- a/packages/keeper/src/fold-listener.ts
+++ b/packages/keeper/src/fold-listener.ts
@@ -7,7 +7,7 @@
 import {LedgerListener, type FoldedEntry} from './ledger-replica.js';
 import {RequestPhase, type RequestRegistry} from './request-registry.js';
 
-/** Brings what the log shows into the holder's and the witness's books. */
+/** Applies folded log entries to the holder's books and the witness's book. */
 export class FoldListener extends LedgerListener {
   constructor(
     private readonly self: string,
@@ -19,20 +19,20 @@
     super();
   }
 
-  override folded({entry, writer, verdict}: FoldedEntry): void {
+  override entryFolded({entry, writer, verdict}: FoldedEntry): void {
     const {organisation, kind} = entry;
     if (kind.case === 'bill') {
-      this.billed(organisation, kind.value, writer, verdict.kind);
+      this.handleBill(organisation, kind.value, writer, verdict.kind);
     }
     if (verdict.kind !== VerdictKind.Accepted) {
       return;
     }
     switch (kind.case) {
       case 'transfer':
-        this.transferred(organisation, kind.value);
+        this.handleTransfer(organisation, kind.value);
         return;
       case 'reclaim':
-        this.reclaimed(organisation, kind.value);
+        this.handleReclaim(organisation, kind.value);
         return;
       case 'return':
         if (kind.value.closes) {
@@ -40,7 +40,7 @@
         }
         return;
       case 'strandedRelease':
-        this.noteClosed(this.grants.holding(organisation, kind.value.grantId));
+        this.markClosed(this.grants.holding(organisation, kind.value.grantId));
         this.witnessBook.forget(kind.value.grantId);
         return;
       default:
@@ -48,11 +48,12 @@
     }
   }
 
-  override restored(): void {
-    // Holdings are compared with the state when their own entries resolve.
+  override checkpointRestored(): void {
+    // Holdings are compared with the restored state when the verdicts of their
+    // own entries arrive.
   }
 
-  private billed(
+  private handleBill(
     organisation: string,
     bill: Bill,
     writer: string,
@@ -62,8 +63,8 @@
     if (kind === VerdictKind.Accepted) {
       this.witnessBook.billFolded(bill.grantId, bill.requestId);
       if (holding !== undefined) {
-        // Another process may have billed it, for instance after its router
-        // found another keeper; the book follows the log.
+        // Another process may have billed the request, for example after its
+        // router connected to another keeper. The book follows the log.
         holding.book.settle(bill);
         holding.book.billFolded(bill.requestId);
       }
@@ -72,15 +73,16 @@
         this.registry.settle(request, bill);
       }
     } else if (writer === this.self) {
-      this.ownBillIgnored(holding, bill, kind);
+      this.handleIgnoredOwnBill(holding, bill, kind);
     }
   }
 
   /**
-   * An own bill that the fold ignored: had an earlier copy of it counted, the
-   * book would have forgotten it by then, so another grant's bill came first.
+   * Handles a bill of this keeper that the fold did not accept. If an earlier copy
+   * of the same bill had been accepted, the book would already have dropped it. A
+   * duplicate therefore means that a bill under another grant came first.
    */
-  private ownBillIgnored(
+  private handleIgnoredOwnBill(
     holding: GrantHolding | undefined,
     bill: Bill,
     kind: VerdictKind,
@@ -98,21 +100,22 @@
     }
   }
 
-  private transferred(organisation: string, transfer: Transfer): void {
+  private handleTransfer(organisation: string, transfer: Transfer): void {
     const {fromGrant, transferId, toHolder} = transfer;
     this.grants
       .holding(organisation, fromGrant)
       ?.book.transferFolded(transferId);
     this.witnessBook.transferFolded(fromGrant, transferId);
     if (toHolder === this.self) {
-      // The giver's answer may have been lost; the record gives the tokens.
-      this.grants.accept(organisation, transfer);
+      // The answer of the sending holder may have been lost; the log entry is
+      // sufficient to accept the tokens.
+      this.grants.acceptTransfer(organisation, transfer);
     }
   }
 
-  private reclaimed(organisation: string, reclaim: Reclaim): void {
+  private handleReclaim(organisation: string, reclaim: Reclaim): void {
     const holding = this.grants.holding(organisation, reclaim.grantId);
-    this.noteClosed(holding);
+    this.markClosed(holding);
     reclaim.settled.forEach(bill => {
       holding?.book.billFolded(bill.requestId);
     });
@@ -134,11 +137,16 @@
         router: open.router,
         tokens: open.reservation?.boundTokens,
       });
-      this.registry.adopt(organisation, grantId, open, RequestPhase.Running);
+      this.registry.addInherited(
+        organisation,
+        grantId,
+        open,
+        RequestPhase.Running,
+      );
     }
   }
 
-  private noteClosed(holding: GrantHolding | undefined): void {
+  private markClosed(holding: GrantHolding | undefined): void {
     if (holding !== undefined) {
       holding.isClosed = true;
     }
--- a/packages/keeper/src/gossip-task.ts
+++ b/packages/keeper/src/gossip-task.ts
@@ -6,20 +6,21 @@
 import type {PeerClients} from './peer-clients.js';
 
 /**
- * Each peer is asked once in so many rounds, and asks as often itself. Peers
- * count as unreachable after five rounds by the default settings: fewer
- * exchanges than this made peers of a fleet of 16 hosts come and go, and every
- * change is sent to routers and moves holders.
+ * Each peer is contacted once in this number of rounds, and contacts this keeper
+ * equally often. With the default settings a peer counts as unreachable after
+ * five rounds. With fewer exchanges, peers in a fleet of 16 hosts flapped between
+ * reachable and unreachable, and each change is sent to routers and moves holders.
  */
-const ROUNDS_FOR_ALL = 4;
+const ROUNDS_PER_CYCLE = 4;
 
 /**
- * The platform's list lags by seconds anyway, peers are heard by gossip, and a
- * reading costs as much as a heartbeat.
+ * Minimum interval between reads of the platform's host list once it names a
+ * peer. The list lags by seconds and peers are also found by gossip, while a read
+ * costs as much as a heartbeat.
  */
-const LIST_MILLISECONDS = 1_000;
+const HOST_LIST_INTERVAL_MILLISECONDS = 1_000;
 
-/** Exchanges heartbeats with peers and reads the platform's list. */
+/** Exchanges heartbeats with peers and polls the platform's host list. */
 export class GossipTask {
   private round = 0;
 
@@ -31,7 +32,7 @@
     private readonly heartbeatMilliseconds: number,
     private readonly clock: Clock,
     private readonly eventLog: EventLog,
-    private readonly ownMessage: () => GossipMessage,
+    private readonly createMessage: () => GossipMessage,
   ) {}
 
   /** Sends heartbeats until the signal is aborted. */
@@ -46,28 +47,31 @@
   }
 
   /**
-   * Reads the platform's list until the signal is aborted; at the pace of the
-   * heartbeat until it names another host, so that a fresh keeper finds peers
-   * soon.
+   * Polls the platform's host list until the signal is aborted. It polls at the
+   * heartbeat interval until the list names another host, so that a new keeper
+   * finds its peers quickly.
    */
-  async runList(signal: AbortSignal): Promise<void> {
+  async pollHostList(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
-        this.membership.list(await this.hostList.read(signal));
+        this.membership.updateListing(await this.hostList.read(signal));
       } catch (error) {
         this.eventLog.debug('host list unreachable', {reason: String(error)});
       }
-      const alone = this.membership.listedAddresses.length === 0;
+      const hasNoListedPeer = this.membership.listedAddresses.length === 0;
       await this.clock.sleep(
-        alone
+        hasNoListedPeer
           ? this.heartbeatMilliseconds
-          : Math.max(this.heartbeatMilliseconds, LIST_MILLISECONDS),
+          : Math.max(
+              this.heartbeatMilliseconds,
+              HOST_LIST_INTERVAL_MILLISECONDS,
+            ),
         signal,
       );
     }
   }
 
-  /** Tells everybody at once, for a graceful stop. */
+  /** Sends a heartbeat to all reachable peers at once, for a graceful stop. */
   async announce(): Promise<void> {
     await Promise.all(
       this.membership.reachablePeers.map(peer =>
@@ -90,17 +94,17 @@
     const all = [...listedAddresses, ...known, ...seeds].filter(
       candidate => candidate.address !== self.controlAddress,
     );
-    const near = all.filter(peer => peer.dataCenter === self.dataCenter);
-    const far = all.filter(peer => peer.dataCenter !== self.dataCenter);
-    return [...this.inTurn(near), ...this.inTurn(far)];
+    const local = all.filter(peer => peer.dataCenter === self.dataCenter);
+    const remote = all.filter(peer => peer.dataCenter !== self.dataCenter);
+    return [...this.selectForRound(local), ...this.selectForRound(remote)];
   }
 
-  private inTurn(
+  private selectForRound(
     peers: readonly {readonly address: string}[],
   ): readonly string[] {
     const addresses = [...new Set(peers.map(peer => peer.address))].sort();
-    const count = Math.ceil(addresses.length / ROUNDS_FOR_ALL);
-    const start = (this.round % ROUNDS_FOR_ALL) * count;
+    const count = Math.ceil(addresses.length / ROUNDS_PER_CYCLE);
+    const start = (this.round % ROUNDS_PER_CYCLE) * count;
     return addresses.slice(start, start + count);
   }
 
@@ -108,11 +112,11 @@
     try {
       const answer = await this.peers
         .client(address)
-        .gossip(this.ownMessage(), {
+        .gossip(this.createMessage(), {
           timeoutMs: 2 * this.heartbeatMilliseconds,
           ...(signal === undefined ? {} : {signal}),
         });
-      this.membership.heard(answer);
+      this.membership.recordHeartbeat(answer);
     } catch (error) {
       this.eventLog.debug('peer unreachable', {
         peer: address,
--- a/packages/keeper/src/grant-parts.ts
+++ b/packages/keeper/src/grant-dependencies.ts
@@ -11,8 +11,8 @@
 import type {PlatformHealth} from './platform-health.js';
 import type {WitnessLinks} from './witness-links.js';
 
-/** What a keeper needs to hold grants. */
-export interface GrantParts {
+/** Dependencies of the classes that manage this keeper's grants. */
+export interface GrantDependencies {
   readonly membership: MembershipTable;
   readonly replicas: LedgerReplicas;
   readonly appender: LedgerAppender;
--- a/packages/keeper/src/grant-holding.ts
+++ b/packages/keeper/src/grant-holding.ts
@@ -2,18 +2,18 @@
 
 import {Acknowledgement} from './witness-link.js';
 
-/** One grant that this keeper holds. */
+/** A grant that this keeper holds. */
 export class GrantHolding {
   readonly book: HolderBook;
-  /** A witness that is to take over, once the log says so. */
+  /** The next witness, until the log has decided the change of witness. */
   candidate: string | undefined;
-  /** The fold closed it: nothing can be spent, and nothing is left to return. */
+  /** Whether the log has closed the grant: nothing can be spent or returned. */
   isClosed = false;
-  /** A closing return is on its way. */
-  returning = false;
+  /** Whether a return that closes the grant was submitted to the log. */
+  isReturning = false;
   private readonly fencingWitnesses = new Set<string>();
 
-  /** @param witness The witness in force on the log; empty where there is none. */
+  /** @param witness The witness in force on the log; empty if there is none. */
   constructor(
     opening: GrantOpening,
     public witness: string,
@@ -21,32 +21,37 @@
     this.book = new HolderBook(opening);
   }
 
-  /** The grant's identifier. */
   get grantId(): string {
     return this.book.opening.grantId;
   }
 
-  /** What can be reserved here now. */
+  /** Tokens that can be reserved now; 0 while the grant is closed or fenced. */
   get spendableTokens(): number {
     return this.isClosed || this.isFenced ? 0 : this.book.spendableTokens;
   }
 
   /**
-   * Whether a witness that must acknowledge has fenced it. Only the log says whether
-   * the grant is taken back: the record of a witness that is no longer in force is
-   * refused there, and the grant stays with this keeper.
+   * Whether a witness that must acknowledge changes has fenced the grant. Only the
+   * log decides whether the grant is reclaimed: it refuses the reclaim of a witness
+   * that is no longer in force, and the grant stays with this keeper.
    */
   get isFenced(): boolean {
     return this.witnesses.some(witness => this.fencingWitnesses.has(witness));
   }
 
-  /** Witnesses that must acknowledge: until the log decides, both may count. */
+  /**
+   * Witnesses that must acknowledge changes. During a change of witness these are
+   * both, as either may be the one in force on the log.
+   */
   get witnesses(): readonly string[] {
     return [this.witness, this.candidate ?? ''].filter(name => name !== '');
   }
 
-  /** Notes what a witness said last. */
-  answered(witness: string, acknowledgement: Acknowledgement): void {
+  /** Records the last acknowledgement of a witness. */
+  recordAcknowledgement(
+    witness: string,
+    acknowledgement: Acknowledgement,
+  ): void {
     if (acknowledgement === Acknowledgement.Fenced) {
       this.fencingWitnesses.add(witness);
     } else if (acknowledgement === Acknowledgement.Applied) {
--- a/packages/keeper/src/grant-manager.ts
+++ b/packages/keeper/src/grant-manager.ts
@@ -8,46 +8,56 @@
 import {GrantHolding} from './grant-holding.js';
 import {tookEffect} from './ledger-appender.js';
 import {ledgerEntry} from './ledger-entries.js';
-import type {GrantParts} from './grant-parts.js';
-import {holderOfMost} from './holder-of-most.js';
+import type {GrantDependencies} from './grant-dependencies.js';
+import {largestHolder} from './largest-holder.js';
 import {OrganisationGrants} from './organisation-grants.js';
-import {WakeUp} from './wake-up.js';
+import {InterruptibleSleep} from './interruptible-sleep.js';
 
-/** The users' pages: regions lose each other for an hour now and then. */
+/**
+ * Length of a network partition, in seconds, that grants should cover: the users'
+ * pages report that regions are sometimes partitioned for an hour.
+ */
 export const EXPECTED_PARTITION_SECONDS = 3_600;
 
-/** Between two refills ahead of need. */
-const REFILL_PAUSE_MILLISECONDS = 500;
-/** Between two returns of an organisation's idle tokens. */
-const RETURN_PAUSE_MILLISECONDS = 2_000;
+/** Minimum interval between grant requests of an organisation with no waiting request. */
+const REFILL_INTERVAL_MILLISECONDS = 500;
+/**
+ * Minimum interval between returns of an organisation's idle tokens. Without it,
+ * holders with shifting shares of the demand return tokens and request them again
+ * as fast as the log answers. Two seconds keep this below one append per second
+ * for each organisation and holder.
+ */
+const RETURN_INTERVAL_MILLISECONDS = 2_000;
 
-/** Holds this keeper's grants of all organisations, and asks for more. */
+/** Manages this keeper's grants of all organisations, and requests and returns tokens. */
 export class GrantManager {
   private readonly organisations = new Map<string, OrganisationGrants>();
-  private readonly nextRefill = new Map<string, number>();
-  private readonly nextReturn = new Map<string, number>();
-  private readonly wakeUp: WakeUp;
+  private readonly nextRefillAt = new Map<string, number>();
+  private readonly nextReturnAt = new Map<string, number>();
+  private readonly reviewSleep: InterruptibleSleep;
 
-  constructor(private readonly parts: GrantParts) {
-    this.wakeUp = new WakeUp(parts.clock);
-    parts.links.setSnapshotSource(witness => this.snapshot(witness));
+  constructor(private readonly dependencies: GrantDependencies) {
+    this.reviewSleep = new InterruptibleSleep(dependencies.clock);
+    dependencies.links.setSnapshotSource(witness =>
+      this.booksForWitness(witness),
+    );
   }
 
-  /** The grants of an organisation; made where there are none yet. */
-  of(organisation: string): OrganisationGrants {
+  /** Returns the grants of an organisation; creates an empty set on first use. */
+  forOrganisation(organisation: string): OrganisationGrants {
     const known = this.organisations.get(organisation);
     if (known !== undefined) {
       return known;
     }
     const grants = new OrganisationGrants(
       organisation,
-      this.parts.replicator,
-      this.parts.clock,
+      this.dependencies.replicator,
+      this.dependencies.clock,
       () => {
-        this.wakeUp.wake();
+        this.reviewSleep.wake();
       },
       () => {
-        const ledger = this.parts.replicas.ledgerOf(organisation);
+        const ledger = this.dependencies.replicas.ledgerOf(organisation);
         const {creditedTokens, billedTokens} = ledger.totals(organisation);
         return creditedTokens === 0 ? undefined : creditedTokens - billedTokens;
       },
@@ -56,35 +66,38 @@
     return grants;
   }
 
-  /** Every organisation of which something is held or wanted. */
+  /** The grants of every organisation that was used so far. */
   get all(): readonly OrganisationGrants[] {
     return [...this.organisations.values()];
   }
 
-  /** A held grant. */
+  /** Returns a grant that this keeper holds. */
   holding(organisation: string, grantId: string): GrantHolding | undefined {
     return this.organisations.get(organisation)?.holdings.get(grantId);
   }
 
-  /** Resolves when something is wanted, or after the delay. */
-  async untilWanted(milliseconds: number, signal: AbortSignal): Promise<void> {
-    await this.wakeUp.sleep(milliseconds, signal);
+  /** Resolves when a request needs tokens, a grant was decided, or after the delay. */
+  async waitForDemand(
+    milliseconds: number,
+    signal: AbortSignal,
+  ): Promise<void> {
+    await this.reviewSleep.sleep(milliseconds, signal);
   }
 
-  /** Lets the policy decide on one organisation. */
+  /** Requests or returns tokens of one organisation as the grant policy decides. */
   review(organisation: string): void {
-    const grants = this.of(organisation);
-    const decision = this.parts.policy.decide(this.situation(grants));
+    const grants = this.forOrganisation(organisation);
+    const decision = this.dependencies.policy.decide(this.policyInput(grants));
     if (decision.askTokens > 0 && grants.requestedTokens === 0) {
-      this.askAtPace(grants, decision);
+      this.requestAtInterval(grants, decision);
     } else if (decision.returnTokens > 0) {
-      this.returnAtPace(grants, decision.returnTokens);
+      this.returnAtInterval(grants, decision.returnTokens);
     }
   }
 
-  /** Takes over what another holder transferred. */
-  accept(organisation: string, transfer: Transfer): GrantHolding {
-    return this.open(
+  /** Opens a grant with the tokens that another holder transferred. */
+  acceptTransfer(organisation: string, transfer: Transfer): GrantHolding {
+    return this.openHolding(
       organisation,
       transfer.transferId,
       transfer.tokens,
@@ -92,15 +105,15 @@
     );
   }
 
-  private situation(grants: OrganisationGrants) {
-    const {parts} = this;
+  private policyInput(grants: OrganisationGrants) {
+    const {dependencies} = this;
     const {organisation} = grants;
-    const ledger = parts.replicas.ledgerOf(organisation);
+    const ledger = dependencies.replicas.ledgerOf(organisation);
     const totals = ledger.totals(organisation);
     return {
       holdsMost:
-        holderOfMost(ledger.grants(organisation)) ===
-        parts.membership.self.incarnation,
+        largestHolder(ledger.grants(organisation)) ===
+        dependencies.membership.self.incarnation,
       spendableTokens: grants.spendableTokens,
       largestSpendableTokens: grants.largestSpendableTokens,
       requestedTokens: grants.requestedTokens,
@@ -109,56 +122,57 @@
       remainingTokens: totals.creditedTokens - totals.billedTokens,
       demandTokensPerSecond: grants.demandTokensPerSecond,
       totalDemandTokensPerSecond:
-        parts.bills.demandTokensPerSecond(organisation),
+        dependencies.bills.demandTokensPerSecond(organisation),
       largestBoundTokens: grants.largestBoundTokens,
       waitingBoundTokens: grants.waitingBoundTokens,
-      holders: parts.membership.dataCenters.size,
+      holders: dependencies.membership.dataCenters.size,
       partitionSeconds: EXPECTED_PARTITION_SECONDS,
-      preference: parts.preferenceOf(organisation),
-      hasWitness: parts.membership.witnessFor(organisation) !== undefined,
+      preference: dependencies.preferenceOf(organisation),
+      hasWitness:
+        dependencies.membership.witnessFor(organisation) !== undefined,
     };
   }
 
-  private async ask(
+  private async requestGrant(
     grants: OrganisationGrants,
     tokens: number,
     minimumTokens: number,
   ): Promise<void> {
-    const {parts} = this;
+    const {dependencies} = this;
     const {organisation} = grants;
-    const grantId = parts.random.identifier();
-    const witness = parts.membership.witnessFor(organisation) ?? '';
+    const grantId = dependencies.random.identifier();
+    const witness = dependencies.membership.witnessFor(organisation) ?? '';
     grants.requestedTokens += tokens;
-    const own = await parts.appender.submit(
+    const submitted = await dependencies.appender.submit(
       ledgerEntry(`grant:${grantId}`, organisation, {
         case: 'grant',
         value: {
           grantId,
           tokens,
           minimumTokens,
-          holder: parts.membership.self.incarnation,
+          holder: dependencies.membership.self.incarnation,
           witness,
-          dataCenter: parts.membership.self.dataCenter,
+          dataCenter: dependencies.membership.self.dataCenter,
         },
       }),
     );
     grants.requestedTokens -= tokens;
-    const given = parts.replicas
+    const granted = dependencies.replicas
       .ledgerOf(organisation)
       .grant(organisation, grantId);
-    if (tookEffect(own) && given !== undefined && !given.closed) {
-      this.open(organisation, grantId, given.tokens, given.witness);
+    if (tookEffect(submitted) && granted !== undefined && !granted.closed) {
+      this.openHolding(organisation, grantId, granted.tokens, granted.witness);
     }
-    this.wakeUp.wake();
+    this.reviewSleep.wake();
   }
 
-  private open(
+  private openHolding(
     organisation: string,
     grantId: string,
     tokens: number,
     witness: string,
   ): GrantHolding {
-    const {self} = this.parts.membership;
+    const {self} = this.dependencies.membership;
     const known = this.holding(organisation, grantId);
     if (known !== undefined) {
       return known;
@@ -173,72 +187,81 @@
       },
       witness,
     );
-    this.of(organisation).holdings.set(grantId, holding);
-    this.parts.eventLog.info('grant opened', {
+    this.forOrganisation(organisation).holdings.set(grantId, holding);
+    this.dependencies.eventLog.info('grant opened', {
       organisation,
       grant: grantId,
       tokens,
       witness,
     });
-    // Queued before any reservation on the same stream, so the witness knows the
-    // book by then; a witness out of reach gets it with the next stream.
-    void this.parts.replicator.commit(holding, holding.book.opened());
+    // Queued before any reservation on the same stream, so the witness has the
+    // book when the first reservation arrives. An unreachable witness gets the
+    // book when its stream is opened again.
+    void this.dependencies.replicator.commit(holding, holding.book.opened());
     return holding;
   }
 
-  /** A waiting request asks at once; refills ahead of need share a pace. */
-  private askAtPace(grants: OrganisationGrants, decision: GrantDecision): void {
-    const now = this.parts.clock.monotonicMilliseconds();
+  /** Requests a grant at once if a request waits, otherwise at the refill interval. */
+  private requestAtInterval(
+    grants: OrganisationGrants,
+    decision: GrantDecision,
+  ): void {
+    const now = this.dependencies.clock.monotonicMilliseconds();
     if (
       grants.waitingBoundTokens > 0 ||
-      now >= (this.nextRefill.get(grants.organisation) ?? 0)
+      now >= (this.nextRefillAt.get(grants.organisation) ?? 0)
     ) {
-      this.nextRefill.set(grants.organisation, now + REFILL_PAUSE_MILLISECONDS);
-      void this.ask(grants, decision.askTokens, decision.minimumTokens);
+      this.nextRefillAt.set(
+        grants.organisation,
+        now + REFILL_INTERVAL_MILLISECONDS,
+      );
+      void this.requestGrant(
+        grants,
+        decision.askTokens,
+        decision.minimumTokens,
+      );
     }
   }
 
-  /**
-   * Load: holders whose shares shift against each other. Harm: tokens that go
-   * back and are asked for again as fast as the log answers. Two seconds keep
-   * that under one append a second for each organisation and holder.
-   */
-  private returnAtPace(grants: OrganisationGrants, tokens: number): void {
-    const now = this.parts.clock.monotonicMilliseconds();
-    if (now >= (this.nextReturn.get(grants.organisation) ?? 0)) {
-      this.nextReturn.set(grants.organisation, now + RETURN_PAUSE_MILLISECONDS);
-      this.giveBack(grants, tokens);
+  private returnAtInterval(grants: OrganisationGrants, tokens: number): void {
+    const now = this.dependencies.clock.monotonicMilliseconds();
+    if (now >= (this.nextReturnAt.get(grants.organisation) ?? 0)) {
+      this.nextReturnAt.set(
+        grants.organisation,
+        now + RETURN_INTERVAL_MILLISECONDS,
+      );
+      this.returnTokens(grants, tokens);
     }
   }
 
-  /** Gives idle tokens back, from the smallest holdings first. */
-  giveBack(grants: OrganisationGrants, tokens: number): void {
-    let left = Math.floor(tokens);
+  /** Returns idle tokens to the budget, from the smallest holdings first. */
+  returnTokens(grants: OrganisationGrants, tokens: number): void {
+    let remaining = Math.floor(tokens);
     const holdings = [...grants.holdings.values()]
-      .filter(holding => !holding.returning && holding.spendableTokens > 0)
+      .filter(holding => !holding.isReturning && holding.spendableTokens > 0)
       .sort((one, other) => one.spendableTokens - other.spendableTokens);
     for (const holding of holdings) {
-      const part = Math.min(left, holding.spendableTokens);
-      if (part > 0 && holding.book.giveBack(part) !== undefined) {
-        left -= part;
-        void this.submitReturn(holding, part, false);
+      const returned = Math.min(remaining, holding.spendableTokens);
+      if (returned > 0 && holding.book.giveBack(returned) !== undefined) {
+        remaining -= returned;
+        void this.submitReturn(holding, returned, false);
       }
     }
   }
 
   /**
-   * Closes a holding that is settled: every bill and transfer of it stands on
-   * the log, so the fold's spare tokens are exactly the rest.
+   * Closes a holding that is settled. All its bills and transfers are on the log,
+   * so the free tokens of its book equal those of the grant in the fold.
    */
   async closeHolding(holding: GrantHolding): Promise<void> {
-    holding.returning = true;
+    holding.isReturning = true;
     holding.book.stopReserving();
-    const rest = holding.book.freeTokens;
-    if (holding.book.giveBack(rest) === undefined) {
-      holding.returning = false;
+    const unspent = holding.book.freeTokens;
+    if (holding.book.giveBack(unspent) === undefined) {
+      holding.isReturning = false;
       return;
     }
-    await this.submitReturn(holding, rest, true);
+    await this.submitReturn(holding, unspent, true);
     const {organisation} = holding.book.opening;
     this.organisations.get(organisation)?.holdings.delete(holding.grantId);
   }
@@ -249,15 +272,15 @@
     closes: boolean,
   ): Promise<void> {
     const {organisation} = holding.book.opening;
-    const {verdict} = await this.parts.appender.submit(
+    const {verdict} = await this.dependencies.appender.submit(
       ledgerEntry(
-        `return:${holding.grantId}:${this.parts.random.identifier()}`,
+        `return:${holding.grantId}:${this.dependencies.random.identifier()}`,
         organisation,
         {case: 'return', value: {grantId: holding.grantId, tokens, closes}},
       ),
     );
     if (verdict.kind === VerdictKind.Refused) {
-      this.parts.eventLog.warn('return refused', {
+      this.dependencies.eventLog.warn('return refused', {
         organisation,
         grant: holding.grantId,
         reason: verdict.reason,
@@ -265,7 +288,7 @@
     }
   }
 
-  private snapshot(witness: string): readonly BookChange[] {
+  private booksForWitness(witness: string): readonly BookChange[] {
     return this.all.flatMap(grants =>
       [...grants.holdings.values()]
         .filter(
@@ -276,5 +299,5 @@
   }
 }
 
-/** A preference where the configuration names none. */
-export const DEFAULT_PREFERENCE = BudgetPreference.AVOID_UNCLEAR_BILLS;
+/** The budget preference of organisations that the configuration does not contain. */
+export const DEFAULT_BUDGET_PREFERENCE = BudgetPreference.AVOID_UNCLEAR_BILLS;
--- a/packages/keeper/src/index.ts
+++ b/packages/keeper/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Binary: log, grants and configuration for the routers of its host.
+ * The keeper process: follows the log, and serves grants, configuration and
+ * membership to the routers of its host.
  */
 export {Keeper} from './keeper.js';
-export type {KeeperSurroundings} from './keeper-parts.js';
+export type {KeeperDependencies} from './keeper-parts.js';
--- a/packages/keeper/src/keeper-inspection.ts
+++ b/packages/keeper/src/keeper-inspection.ts
@@ -17,10 +17,10 @@
 import type {PlatformHealth} from './platform-health.js';
 import {RequestPhase, type RequestRegistry} from './request-registry.js';
 
-/** Bills listed in an explanation of a budget. */
-const LISTED_BILLS = 200;
+/** Maximum number of bills listed in the explanation of a budget. */
+const MAXIMUM_LISTED_BILLS = 200;
 
-/** What a keeper tells of itself. */
+/** State dump and explanations of a keeper. */
 export class KeeperInspection extends Inspectable {
   constructor(
     private readonly membership: MembershipTable,
@@ -130,7 +130,7 @@
         grant => grant.organisation === organisation,
       ),
       unconfirmedBills: bills.filter(bill => !bill.confirmed).length,
-      latestBills: bills.slice(-LISTED_BILLS).map(bill => ({
+      latestBills: bills.slice(-MAXIMUM_LISTED_BILLS).map(bill => ({
         requestId: bill.requestId,
         tokens: bill.tokens,
         confirmed: bill.confirmed,
@@ -141,7 +141,7 @@
     };
   }
 
-  /** Neither holder nor witness was heard from lately, as far as seen here. */
+  /** Whether this keeper can reach neither the holder nor the witness of a grant. */
   private isStranded(holder: string, witness: string): boolean {
     return (
       !this.membership.isReachable(holder) &&
--- a/packages/keeper/src/keeper-options.ts
+++ b/packages/keeper/src/keeper-options.ts
@@ -1,6 +1,6 @@
 import type {KeeperSettings} from '@wisteriadeal/schema';
 
-/** Settings with the defaults of what they leave out; times in milliseconds. */
+/** The settings of a keeper, with defaults for missing values. */
 export interface KeeperOptions {
   readonly address: string;
   readonly controlPort: number;
@@ -22,13 +22,13 @@
 const DEFAULT_ORPHAN_WAIT_MILLISECONDS = 10_000;
 const DEFAULT_CHECKPOINT_RECORDS = 5_000;
 
-/** A number of the settings; proto3 gives 0 where none was written. */
-function orDefault(value: number, standard: number): number {
-  return value === 0 ? standard : value;
+/** Returns a number of the settings or its default; proto3 reads a missing number as 0. */
+function orDefault(value: number, defaultValue: number): number {
+  return value === 0 ? defaultValue : value;
 }
 
 /**
- * Fills in defaults.
+ * Reads the options of a keeper from its settings, and fills in defaults.
  *
  * @example
  * ```ts
--- a/packages/keeper/src/keeper-parts.ts
+++ b/packages/keeper/src/keeper-parts.ts
@@ -16,9 +16,9 @@
 import {ConfigurationReplica} from './configuration-replica.js';
 import {FoldListener} from './fold-listener.js';
 import {GossipTask} from './gossip-task.js';
-import {DEFAULT_PREFERENCE, GrantManager} from './grant-manager.js';
-import type {GrantParts} from './grant-parts.js';
-import {HoldingKeeper} from './holding-keeper.js';
+import {DEFAULT_BUDGET_PREFERENCE, GrantManager} from './grant-manager.js';
+import type {GrantDependencies} from './grant-dependencies.js';
+import {GrantMaintainer} from './grant-maintainer.js';
 import {KeeperInspection} from './keeper-inspection.js';
 import type {KeeperOptions} from './keeper-options.js';
 import {LedgerAppender} from './ledger-appender.js';
@@ -39,8 +39,8 @@
 import {WitnessLinks} from './witness-links.js';
 import {WitnessService} from './witness-service.js';
 
-/** What a keeper takes from outside. */
-export interface KeeperSurroundings {
+/** External dependencies of a keeper. */
+export interface KeeperDependencies {
   readonly log: LogClient;
   readonly hostList: HostList;
   readonly engines: ModelEngineFactory;
@@ -51,7 +51,7 @@
   readonly eventLog: EventLog;
 }
 
-/** The parts of one keeper, joined. */
+/** Creates and connects the components of one keeper. */
 export class KeeperParts {
   readonly peers = new PeerClients();
   readonly health = new PlatformHealth();
@@ -62,7 +62,7 @@
   readonly appender: LedgerAppender;
   readonly links: WitnessLinks;
   readonly grants: GrantManager;
-  readonly holdings: HoldingKeeper;
+  readonly grantMaintainer: GrantMaintainer;
   readonly registry: RequestRegistry;
   readonly requests: RequestService;
   readonly sessions: RouterSessions;
@@ -79,12 +79,12 @@
   constructor(
     self: ProcessIdentity,
     readonly options: KeeperOptions,
-    readonly surroundings: KeeperSurroundings,
+    readonly dependencies: KeeperDependencies,
   ) {
-    const {clock, eventLog, log, random} = surroundings;
+    const {clock, eventLog, log, random} = dependencies;
     const bills = new BillObserver(clock);
     this.replicas = new LedgerReplicas(options.ledgerStreams);
-    this.replicas.listen(bills);
+    this.replicas.addListener(bills);
     this.membership = new MembershipTable(
       self,
       options.heartbeatLimitMilliseconds,
@@ -98,7 +98,7 @@
       this.health,
       clock,
       options.billFlushMilliseconds,
-      surroundings.metrics,
+      dependencies.metrics,
       eventLog,
     );
     this.links = new WitnessLinks(
@@ -108,15 +108,15 @@
       clock,
       eventLog,
     );
-    const grantParts = this.grantParts(bills);
-    this.grants = new GrantManager(grantParts);
-    this.holdings = new HoldingKeeper(
-      grantParts,
+    const grantDependencies = this.grantDependencies(bills);
+    this.grants = new GrantManager(grantDependencies);
+    this.grantMaintainer = new GrantMaintainer(
+      grantDependencies,
       this.grants,
       options.heartbeatLimitMilliseconds,
     );
     this.registry = new RequestRegistry(clock);
-    this.replicas.listen(
+    this.replicas.addListener(
       new FoldListener(
         self.incarnation,
         this.grants,
@@ -127,14 +127,14 @@
     );
     const settlements = new SettlementService(
       this.appender,
-      grantParts.replicator,
+      grantDependencies.replicator,
       this.grants,
       this.registry,
     );
     this.requests = new RequestService(
       this.membership,
       this.replicas,
-      grantParts.replicator,
+      grantDependencies.replicator,
       this.grants,
       new ClaimService(
         this.appender,
@@ -159,7 +159,7 @@
       this.peers,
       this.replicas,
       this.grants,
-      grantParts.replicator,
+      grantDependencies.replicator,
       this.appender,
       clock,
       random,
@@ -170,7 +170,7 @@
       settlements,
       this.membership,
       this.configuration,
-      surroundings.engines,
+      dependencies.engines,
       options.orphanWaitMilliseconds,
       clock,
       eventLog,
@@ -186,7 +186,7 @@
     );
     this.gossip = new GossipTask(
       this.membership,
-      surroundings.hostList,
+      dependencies.hostList,
       this.peers,
       options.seedKeepers,
       options.heartbeatMilliseconds,
@@ -218,25 +218,28 @@
     );
   }
 
-  /** All streams that this keeper follows. */
+  /** Replicas of all streams that this keeper follows. */
   get streams(): readonly StreamReplica[] {
     return [this.configuration, ...this.replicas.all];
   }
 
-  /** A heartbeat. */
+  /** Creates the heartbeat message of this keeper. */
   gossipMessage() {
     const nextOffsets = Object.fromEntries(
       this.streams.map(replica => [replica.stream, replica.nextOffset]),
     );
-    return this.membership.gossip(this.configuration.version, nextOffsets);
+    return this.membership.createGossip(
+      this.configuration.version,
+      nextOffsets,
+    );
   }
 
-  private grantParts(bills: BillObserver): GrantParts {
-    const {clock, eventLog, random, policy} = this.surroundings;
+  private grantDependencies(bills: BillObserver): GrantDependencies {
+    const {clock, eventLog, random, policy} = this.dependencies;
     const preferenceOf = (organisation: string) =>
       this.configuration.configuration?.organisations.find(
         candidate => candidate.name === organisation,
-      )?.budgetPreference ?? DEFAULT_PREFERENCE;
+      )?.budgetPreference ?? DEFAULT_BUDGET_PREFERENCE;
     return {
       membership: this.membership,
       replicas: this.replicas,
--- a/packages/keeper/src/keeper-review.ts
+++ b/packages/keeper/src/keeper-review.ts
@@ -5,29 +5,32 @@
 import type {KeeperParts} from './keeper-parts.js';
 import type {OrganisationGrants} from './organisation-grants.js';
 
-/** How often grants, witnesses and lost peers are looked at. */
-const REVIEW_MILLISECONDS = 250;
-/** A checkpoint is due after thousands of records. */
-const CHECKPOINT_REVIEW_MILLISECONDS = 1_000;
+/** Maximum interval between two checks of grants, witnesses and lost peers. */
+const REVIEW_INTERVAL_MILLISECONDS = 250;
+/** Interval between checks for due checkpoints; one is due after thousands of records. */
+const CHECKPOINT_REVIEW_INTERVAL_MILLISECONDS = 1_000;
 
-/** Looks, again and again, at everything that time or peers can change. */
+/** Periodically checks all state that changes with time or with the state of peers. */
 export class KeeperReview {
   constructor(private readonly parts: KeeperParts) {}
 
-  /** Runs until the signal is aborted. */
+  /** Runs the checks until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.review(signal);
-      await this.parts.grants.untilWanted(REVIEW_MILLISECONDS, signal);
+      await this.parts.grants.waitForDemand(
+        REVIEW_INTERVAL_MILLISECONDS,
+        signal,
+      );
     }
   }
 
   /** Writes checkpoints until the signal is aborted. */
   async runCheckpoints(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.parts.checkpoints.review(signal);
-      await this.parts.surroundings.clock.sleep(
-        CHECKPOINT_REVIEW_MILLISECONDS,
+      await this.parts.checkpoints.writeDueCheckpoints(signal);
+      await this.parts.dependencies.clock.sleep(
+        CHECKPOINT_REVIEW_INTERVAL_MILLISECONDS,
         signal,
       );
     }
@@ -42,12 +45,12 @@
       this.reviewOrganisation(organisation);
     }
     for (const grants of parts.grants.all) {
-      parts.holdings.review(grants);
-      if (this.needsPeers(grants)) {
-        void parts.transfers.ask(grants, signal);
+      parts.grantMaintainer.review(grants);
+      if (this.needsTokensFromPeers(grants)) {
+        void parts.transfers.requestTokens(grants, signal);
       }
     }
-    parts.links.retain(parts.holdings.witnessesInUse);
+    parts.links.retain(parts.grantMaintainer.witnessesInUse);
   }
 
   private reviewOrganisation(organisation: Organisation): void {
@@ -63,12 +66,15 @@
     ) {
       return;
     }
-    this.creditOpening(organisation);
+    this.creditOpeningBudget(organisation);
     grants.review(organisation.name);
   }
 
-  /** The publisher credits it too; the identifier makes it once. */
-  private creditOpening(organisation: Organisation): void {
+  /**
+   * Credits the opening budget of an organisation. The publisher of the
+   * configuration appends the same entry; its identifier makes it count only once.
+   */
+  private creditOpeningBudget(organisation: Organisation): void {
     const entryId = openingEntryId(organisation.name);
     const ledger = this.parts.replicas.ledgerOf(organisation.name);
     if (
@@ -88,8 +94,8 @@
     }
   }
 
-  /** A request waits, and the log can't give what it needs. */
-  private needsPeers(grants: OrganisationGrants): boolean {
+  /** Whether a request waits for tokens that can't be granted through the log. */
+  private needsTokensFromPeers(grants: OrganisationGrants): boolean {
     const {replicas, health} = this.parts;
     const bound = grants.waitingBoundTokens;
     if (bound === 0 || bound <= grants.largestSpendableTokens) {
--- a/packages/keeper/src/keeper-services.ts
+++ b/packages/keeper/src/keeper-services.ts
@@ -4,7 +4,7 @@
 
 import type {KeeperParts} from './keeper-parts.js';
 
-/** Registers what a keeper offers to routers, peers and operators. */
+/** Registers the services of a keeper for routers, peers and operators. */
 export function registerKeeper(
   router: ConnectRouter,
   parts: KeeperParts,
@@ -14,9 +14,9 @@
     replicate: messages => parts.witnessService.replicate(messages),
     followStream: (request, context) =>
       parts.relayServer.follow(request, context.signal),
-    transferGrant: request => parts.transfers.give(request),
+    transferGrant: request => parts.transfers.handleRequest(request),
     gossip: message => {
-      parts.membership.heard(message);
+      parts.membership.recordHeartbeat(message);
       return parts.gossipMessage();
     },
   });
--- a/packages/keeper/src/keeper.ts
+++ b/packages/keeper/src/keeper.ts
@@ -8,21 +8,21 @@
 import {setMaxListeners} from 'node:events';
 
 import {keeperOptions} from './keeper-options.js';
-import {KeeperParts, type KeeperSurroundings} from './keeper-parts.js';
+import {KeeperParts, type KeeperDependencies} from './keeper-parts.js';
 import {KeeperReview} from './keeper-review.js';
 import {registerKeeper} from './keeper-services.js';
 import {RequestPhase} from './request-registry.js';
 import {StreamFollower} from './stream-follower.js';
 
-/** A graceful stop waits at most this long for requests in progress. */
-const DRAIN_LIMIT_MILLISECONDS = 60_000;
-/** A graceful stop waits at most this long for the log to take the returns. */
-const RETURN_LIMIT_MILLISECONDS = 5_000;
-const POLL_MILLISECONDS = 50;
+/** How long a graceful stop waits at most for requests in progress. */
+const DRAIN_TIMEOUT_MILLISECONDS = 60_000;
+/** How long a graceful stop waits at most until the returns are on the log. */
+const RETURN_TIMEOUT_MILLISECONDS = 5_000;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** One running keeper. */
+/** A running keeper. */
 export class Keeper {
-  private readonly stopping = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly tasks: Promise<void>[] = [];
 
   private constructor(
@@ -31,27 +31,27 @@
   ) {}
 
   /**
-   * Listens, and follows the log from then on.
+   * Starts a keeper that listens on its control port and follows the log.
    *
-   * @throws The system's error where the address can't be taken.
+   * @throws The system's error if the address can't be bound.
    * @example
    * ```ts
-   * const keeper = await Keeper.start(settings, surroundings);
+   * const keeper = await Keeper.start(settings, dependencies);
    * await keeper.close();
    * ```
    */
   static async start(
     settings: KeeperSettings,
-    surroundings: KeeperSurroundings,
+    dependencies: KeeperDependencies,
   ): Promise<Keeper> {
     const options = keeperOptions(settings);
     const host = settings.process?.host ?? '';
     const self = create(ProcessIdentitySchema, {
-      incarnation: `${host}/keeper/${surroundings.random.identifier()}`,
+      incarnation: `${host}/keeper/${dependencies.random.identifier()}`,
       host,
       dataCenter: settings.process?.dataCenter ?? '',
     });
-    const parts = new KeeperParts(self, options, surroundings);
+    const parts = new KeeperParts(self, options, dependencies);
     const server = await ControlServer.listen(
       options.address,
       options.controlPort,
@@ -62,45 +62,44 @@
     self.controlAddress = server.address;
     const keeper = new Keeper(parts, server);
     keeper.startTasks();
-    surroundings.eventLog.info('listening', {
+    dependencies.eventLog.info('listening', {
       controlAddress: server.address,
       incarnation: self.incarnation,
     });
     return keeper;
   }
 
-  /** This keeper's identity. */
   get identity(): ProcessIdentity {
     return this.parts.membership.self;
   }
 
   /**
-   * Stops in good order: takes no new requests, waits for those in progress,
-   * returns the grants, and leaves.
+   * Stops the keeper gracefully: accepts no new requests, waits for those in
+   * progress, returns the grants, and then ends all tasks.
    */
   async close(): Promise<void> {
     const {membership, registry, grants, appender} = this.parts;
-    membership.leave();
+    membership.startLeaving();
     await this.parts.gossip.announce();
     await this.waitUntil(
       () =>
         registry.inPhase(RequestPhase.Running).length === 0 &&
         registry.inPhase(RequestPhase.Reserving).length === 0 &&
         registry.inPhase(RequestPhase.Orphaned).length === 0,
-      DRAIN_LIMIT_MILLISECONDS,
+      DRAIN_TIMEOUT_MILLISECONDS,
     );
     await this.waitUntil(
       () =>
         grants.all.every(organisation => organisation.holdings.size === 0) &&
         appender.pendingEntries === 0,
-      RETURN_LIMIT_MILLISECONDS,
+      RETURN_TIMEOUT_MILLISECONDS,
     );
     await this.kill();
   }
 
-  /** Ends at once, as a lost process would; nothing is returned. */
+  /** Ends all tasks at once, as a crash would; grants are not returned. */
   async kill(): Promise<void> {
-    this.stopping.abort();
+    this.stopController.abort();
     await this.server.close();
     await this.parts.links.close();
     this.parts.peers.close();
@@ -108,12 +107,12 @@
   }
 
   private startTasks(): void {
-    const {signal} = this.stopping;
-    // One task each stream, peer and call waits on it; the usual warning at ten
-    // listeners is meant for leaks.
+    const {signal} = this.stopController;
+    // Each stream, peer and call adds a listener to this signal, so Node's leak
+    // warning at more than ten listeners does not apply.
     setMaxListeners(0, signal);
     const {parts} = this;
-    const {log, clock, eventLog} = parts.surroundings;
+    const {log, clock, eventLog} = parts.dependencies;
     const review = new KeeperReview(parts);
     const followers = parts.streams.map(
       replica =>
@@ -132,20 +131,20 @@
         parts.appender.run(stream, signal),
       ),
       parts.gossip.run(signal),
-      parts.gossip.runList(signal),
+      parts.gossip.pollHostList(signal),
       review.run(signal),
       review.runCheckpoints(signal),
     );
   }
 
   private async waitUntil(
-    done: () => boolean,
-    limitMilliseconds: number,
+    condition: () => boolean,
+    timeoutMilliseconds: number,
   ): Promise<void> {
-    const {clock} = this.parts.surroundings;
-    const deadline = clock.monotonicMilliseconds() + limitMilliseconds;
-    while (!done() && clock.monotonicMilliseconds() < deadline) {
-      await clock.sleep(POLL_MILLISECONDS);
+    const {clock} = this.parts.dependencies;
+    const deadline = clock.monotonicMilliseconds() + timeoutMilliseconds;
+    while (!condition() && clock.monotonicMilliseconds() < deadline) {
+      await clock.sleep(POLL_INTERVAL_MILLISECONDS);
     }
   }
 }
--- a/packages/keeper/src/ledger-appender.ts
+++ b/packages/keeper/src/ledger-appender.ts
@@ -7,53 +7,56 @@
 import {LedgerListener, type FoldedEntry} from './ledger-replica.js';
 import type {LedgerReplicas} from './ledger-replicas.js';
 import type {PlatformHealth} from './platform-health.js';
-import {WakeUp} from './wake-up.js';
+import {InterruptibleSleep} from './interruptible-sleep.js';
 
-/** Entries of one record; about 100 KiB of bills. */
-const BATCH_ENTRIES = 400;
-/** Between tries while the platform does not answer. */
-const RETRY_MILLISECONDS = 250;
-/** An entry whose append was answered shows up well within this time. */
-const RESEND_MILLISECONDS = 5_000;
+/** Maximum number of entries per record; with bills, about 100 KiB. */
+const MAXIMUM_BATCH_ENTRIES = 400;
+/** Delay before the next append after a failed one. */
+const RETRY_DELAY_MILLISECONDS = 250;
+/**
+ * Delay before an entry is appended again if the fold has not shown it. An entry
+ * whose append was answered is normally folded well within this time.
+ */
+const RESEND_DELAY_MILLISECONDS = 5_000;
 
-/** How soon an entry has to be on the log. */
+/** How soon an entry has to be appended. */
 export enum Urgency {
-  /** Something waits for the verdict. */
-  Now,
-  /** It may wait and share its record with others. */
+  /** Append at once, since a request or a task waits for the verdict. */
+  Immediate,
+  /** Delay the entry, so that it shares a record with others. */
   Batched,
 }
 
-/** The verdict on an own entry. */
-export interface OwnVerdict {
+/** The verdict on an entry that this keeper has submitted. */
+export interface SubmittedVerdict {
   readonly verdict: EntryVerdict;
   /**
-   * Records were skipped since the entry was first sent, so that a duplicate
-   * may be the second copy of this very entry.
+   * Whether records were skipped after the entry was first sent. A `Duplicate`
+   * verdict may then refer to the second copy of this entry.
    */
-  readonly uncertain: boolean;
+  readonly mayDuplicateItself: boolean;
 }
 
 interface PendingEntry {
   readonly entry: LedgerEntry;
-  readonly verdict: Promise<OwnVerdict>;
-  readonly resolve: (verdict: OwnVerdict) => void;
+  readonly verdict: Promise<SubmittedVerdict>;
+  readonly resolve: (verdict: SubmittedVerdict) => void;
   readonly dueAt: number;
   sentAt: number | undefined;
-  uncertain: boolean;
+  mayDuplicateItself: boolean;
 }
 
 /**
- * Appends entries and resolves them by what is read back.
+ * Appends entries to the log and resolves them when they are read back.
  *
- * The failure it meets: an append's answer is lost after the append took effect.
- * An entry stays pending until the fold shows its identifier, and is appended
- * again meanwhile; the fold ignores the second copy, so neither a lost answer
- * nor a repeat counts twice, and none is ever taken to have failed.
+ * The answer to an append can be lost after the append took effect. An entry
+ * therefore stays pending until the fold shows its identifier, and is appended
+ * again until then. The fold ignores the second copy, so an entry never counts
+ * twice, and an unanswered append is never treated as failed.
  */
 export class LedgerAppender extends LedgerListener {
   private readonly pending = new Map<string, Map<string, PendingEntry>>();
-  private readonly wakeUps = new Map<string, WakeUp>();
+  private readonly sleeps = new Map<string, InterruptibleSleep>();
 
   constructor(
     private readonly writer: string,
@@ -61,7 +64,7 @@
     private readonly log: LogClient,
     private readonly health: PlatformHealth,
     private readonly clock: Clock,
-    private readonly batchMilliseconds: number,
+    private readonly batchDelayMilliseconds: number,
     private readonly metrics: Metrics,
     private readonly eventLog: EventLog,
   ) {
@@ -69,27 +72,32 @@
     for (const {stream} of replicas.all) {
       this.pending.set(stream, new Map());
     }
-    replicas.listen(this);
+    replicas.addListener(this);
   }
 
-  /** Entries whose verdict is not known. */
+  /** Number of entries without a verdict. */
   get pendingEntries(): number {
     return [...this.pending.values()].reduce((sum, map) => sum + map.size, 0);
   }
 
   /**
-   * Appends an entry; resolves once the fold showed it, however long the
-   * platform is away. A second call with a pending identifier joins the first.
+   * Appends an entry and resolves with its verdict once it was folded. There is no
+   * timeout: the entry stays pending during an outage of the platform. A call with
+   * the identifier of a pending entry returns the promise of that entry.
    */
-  submit(entry: LedgerEntry, urgency = Urgency.Now): Promise<OwnVerdict> {
+  submit(
+    entry: LedgerEntry,
+    urgency = Urgency.Immediate,
+  ): Promise<SubmittedVerdict> {
     const stream = this.replicas.streamOf(entry.organisation);
     const known = this.pending.get(stream)?.get(entry.entryId);
     if (known !== undefined) {
       return known.verdict;
     }
-    const delay = urgency === Urgency.Now ? 0 : this.batchMilliseconds;
-    let resolve: (verdict: OwnVerdict) => void = () => undefined;
-    const verdict = new Promise<OwnVerdict>(resolvePromise => {
+    const delay =
+      urgency === Urgency.Immediate ? 0 : this.batchDelayMilliseconds;
+    let resolve: (verdict: SubmittedVerdict) => void = () => undefined;
+    const verdict = new Promise<SubmittedVerdict>(resolvePromise => {
       resolve = resolvePromise;
     });
     this.pending.get(stream)?.set(entry.entryId, {
@@ -98,35 +106,35 @@
       resolve,
       dueAt: this.clock.monotonicMilliseconds() + delay,
       sentAt: undefined,
-      uncertain: false,
+      mayDuplicateItself: false,
     });
-    this.wakeUpOf(stream).wake();
+    this.sleepOf(stream).wake();
     return verdict;
   }
 
-  override folded({stream, writer, entry, verdict}: FoldedEntry): void {
+  override entryFolded({stream, writer, entry, verdict}: FoldedEntry): void {
     const pending = this.pending.get(stream)?.get(entry.entryId);
     if (pending === undefined || writer !== this.writer) {
       return;
     }
     this.pending.get(stream)?.delete(entry.entryId);
-    pending.resolve({verdict, uncertain: pending.uncertain});
+    pending.resolve({verdict, mayDuplicateItself: pending.mayDuplicateItself});
   }
 
-  override restored(stream: string): void {
+  override checkpointRestored(stream: string): void {
     for (const pending of this.pending.get(stream)?.values() ?? []) {
-      pending.uncertain = pending.sentAt !== undefined;
+      pending.mayDuplicateItself = pending.sentAt !== undefined;
       pending.sentAt = undefined;
     }
-    this.wakeUpOf(stream).wake();
+    this.sleepOf(stream).wake();
   }
 
-  /** Appends what is due on one stream, one record at a time. */
+  /** Appends the due entries of one stream until the signal is aborted, one record at a time. */
   async run(stream: string, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const batch = this.dueEntries(stream);
       if (batch.length === 0) {
-        await this.untilDue(stream, signal);
+        await this.waitUntilDue(stream, signal);
       } else {
         await this.append(stream, batch, signal);
       }
@@ -135,35 +143,38 @@
 
   private dueEntries(stream: string): readonly PendingEntry[] {
     const now = this.clock.monotonicMilliseconds();
-    const unsent = [...(this.pending.get(stream)?.values() ?? [])].filter(
+    const due = [...(this.pending.get(stream)?.values() ?? [])].filter(
       pending => this.nextSendAt(pending) <= now,
     );
-    return unsent.slice(0, BATCH_ENTRIES);
+    return due.slice(0, MAXIMUM_BATCH_ENTRIES);
   }
 
   private nextSendAt(pending: PendingEntry): number {
     return pending.sentAt === undefined
       ? pending.dueAt
-      : pending.sentAt + RESEND_MILLISECONDS;
+      : pending.sentAt + RESEND_DELAY_MILLISECONDS;
   }
 
-  private async untilDue(stream: string, signal: AbortSignal): Promise<void> {
+  private async waitUntilDue(
+    stream: string,
+    signal: AbortSignal,
+  ): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
     const next = [...(this.pending.get(stream)?.values() ?? [])].reduce(
       (earliest, pending) => Math.min(earliest, this.nextSendAt(pending)),
-      now + RESEND_MILLISECONDS,
+      now + RESEND_DELAY_MILLISECONDS,
     );
-    await this.wakeUpOf(stream).sleep(Math.max(1, next - now), signal);
+    await this.sleepOf(stream).sleep(Math.max(1, next - now), signal);
   }
 
-  private wakeUpOf(stream: string): WakeUp {
-    const known = this.wakeUps.get(stream);
+  private sleepOf(stream: string): InterruptibleSleep {
+    const known = this.sleeps.get(stream);
     if (known !== undefined) {
       return known;
     }
-    const wakeUp = new WakeUp(this.clock);
-    this.wakeUps.set(stream, wakeUp);
-    return wakeUp;
+    const sleep = new InterruptibleSleep(this.clock);
+    this.sleeps.set(stream, sleep);
+    return sleep;
   }
 
   private async append(
@@ -186,13 +197,13 @@
     try {
       await this.log.append(stream, payload, signal);
     } catch (error) {
-      // A read may be held open for seconds; an append tells of an outage at
-      // once, and whoever waits for tokens then asks peers in time.
-      this.health.failed(stream);
+      // A read may stay open for seconds, while a failed append shows an outage at
+      // once. Requests that wait for tokens can then be served by peers in time.
+      this.health.recordFailure(stream);
       this.eventLog.debug('append failed', {stream, reason: String(error)});
-      await this.clock.sleep(RETRY_MILLISECONDS, signal);
-      // Whether it took effect or not, the same entries go out again unless the
-      // fold has shown them by now.
+      await this.clock.sleep(RETRY_DELAY_MILLISECONDS, signal);
+      // The append may or may not have taken effect. Entries that were not folded
+      // by now are sent again in either case.
       batch.forEach(pending => {
         pending.sentAt = undefined;
       });
@@ -200,10 +211,13 @@
   }
 }
 
-/** Whether the entry itself, or an earlier copy of it, took effect. */
-export function tookEffect({verdict, uncertain}: OwnVerdict): boolean {
+/** Whether the entry or an earlier copy of it took effect. */
+export function tookEffect({
+  verdict,
+  mayDuplicateItself,
+}: SubmittedVerdict): boolean {
   return (
     verdict.kind === VerdictKind.Accepted ||
-    (verdict.kind === VerdictKind.Duplicate && uncertain)
+    (verdict.kind === VerdictKind.Duplicate && mayDuplicateItself)
   );
 }
--- a/packages/keeper/src/ledger-entries.ts
+++ b/packages/keeper/src/ledger-entries.ts
@@ -11,7 +11,7 @@
 >;
 
 /**
- * An entry.
+ * Creates a ledger entry.
  *
  * @example
  * ```ts
@@ -26,13 +26,13 @@
   return create(LedgerEntrySchema, {entryId, organisation, kind});
 }
 
-/** The entry of a bill. */
+/** Creates the entry of a bill; its identifier depends only on the request. */
 export function billEntry(organisation: string, bill: Bill): LedgerEntry {
   const entryId = `bill:${bill.requestId}`;
   return ledgerEntry(entryId, organisation, {case: 'bill', value: bill});
 }
 
-/** The entry of a transfer; giver and taker append the same. */
+/** Creates the entry of a transfer. The sending and the receiving holder append the same entry. */
 export function transferEntry(
   organisation: string,
   transfer: Transfer,
--- a/packages/keeper/src/ledger-replica.ts
+++ b/packages/keeper/src/ledger-replica.ts
@@ -9,7 +9,7 @@
 
 import {StreamReplica} from './stream-replica.js';
 
-/** An entry as it was folded. */
+/** A folded entry with its verdict and its place on the log. */
 export interface FoldedEntry {
   readonly stream: string;
   readonly offset: number;
@@ -18,28 +18,28 @@
   readonly verdict: EntryVerdict;
 }
 
-/** Told of every folded entry, in order. */
+/** Receives every folded entry in log order. */
 export abstract class LedgerListener {
-  abstract folded(entry: FoldedEntry): void;
-  /** Records were skipped by starting from a checkpoint. */
-  abstract restored(stream: string): void;
+  abstract entryFolded(entry: FoldedEntry): void;
+  /** Called after a stream was restored from a checkpoint, which skips records. */
+  abstract checkpointRestored(stream: string): void;
 }
 
 function decode(payload: Uint8Array): LedgerBatch {
   try {
     return fromBinary(LedgerBatchSchema, payload);
   } catch {
-    // A foreign record must not stop every reader; the fold skips it as well.
+    // A record that can't be decoded must not stop every reader; the fold skips it too.
     return create(LedgerBatchSchema);
   }
 }
 
-/** One `ledger-N` stream. */
+/** The folded state of one `ledger-N` stream. */
 export class LedgerReplica extends StreamReplica {
   private state = new LedgerFold();
   private readonly listeners: LedgerListener[] = [];
 
-  /** The state; only this replica changes it. */
+  /** The folded state. Callers must not modify it. */
   get ledger(): LedgerFold {
     return this.state;
   }
@@ -48,8 +48,8 @@
     return this.state.nextOffset;
   }
 
-  /** Adds a listener for what is folded from now on. */
-  listen(listener: LedgerListener): void {
+  /** Adds a listener for entries that are folded from now on. */
+  addListener(listener: LedgerListener): void {
     this.listeners.push(listener);
   }
 
@@ -67,7 +67,7 @@
         this.state = restored;
         this.recent.clear();
         this.listeners.forEach(listener => {
-          listener.restored(this.stream);
+          listener.checkpointRestored(this.stream);
         });
         return true;
       }
@@ -107,7 +107,7 @@
         verdict,
       };
       this.listeners.forEach(listener => {
-        listener.folded(folded);
+        listener.entryFolded(folded);
       });
     });
   }
--- a/packages/keeper/src/ledger-replicas.ts
+++ b/packages/keeper/src/ledger-replicas.ts
@@ -2,13 +2,13 @@
 
 import {LedgerReplica, type LedgerListener} from './ledger-replica.js';
 
-/** All ledger streams of the fleet. */
+/** Replicas of all ledger streams of the fleet. */
 export class LedgerReplicas {
   readonly all: readonly LedgerReplica[];
-  /** Streams by organisation: hashing at each look took most of a review. */
+  /** Replica by organisation; hashing the name at each lookup took most of a review's time. */
   private readonly byOrganisation = new Map<string, LedgerReplica>();
 
-  /** @param ledgerStreams Number of streams. */
+  /** @param ledgerStreams Number of ledger streams. */
   constructor(private readonly ledgerStreams: number) {
     this.all = Array.from(
       {length: ledgerStreams},
@@ -16,20 +16,20 @@
     );
   }
 
-  /** The stream of an organisation. */
+  /** Returns the name of an organisation's stream. */
   streamOf(organisation: string): string {
     return this.replicaOf(organisation).stream;
   }
 
-  /** The fold that holds an organisation. */
+  /** Returns the folded ledger that contains an organisation. */
   ledgerOf(organisation: string): LedgerFold {
     return this.replicaOf(organisation).ledger;
   }
 
   /** Adds a listener to every stream. */
-  listen(listener: LedgerListener): void {
+  addListener(listener: LedgerListener): void {
     this.all.forEach(replica => {
-      replica.listen(listener);
+      replica.addListener(listener);
     });
   }
 
@@ -41,7 +41,7 @@
     const stream = ledgerStreamOf(organisation, this.ledgerStreams);
     const replica = this.all.find(candidate => candidate.stream === stream);
     if (replica === undefined) {
-      throw new Error(`there is no stream ${stream}`);
+      throw new Error(`ledger stream ${stream} does not exist`);
     }
     this.byOrganisation.set(organisation, replica);
     return replica;
--- a/packages/keeper/src/main.ts
+++ b/packages/keeper/src/main.ts
@@ -1,18 +1,18 @@
 import {runBinary} from '@wisteriadeal/runtime';
 import {KeeperSettingsSchema, type KeeperSettings} from '@wisteriadeal/schema';
 
-import {keeperContainer, surroundingsOf} from './composition.js';
+import {keeperContainer, keeperDependencies} from './composition.js';
 import {Keeper} from './keeper.js';
 
 async function startKeeper(settings: KeeperSettings) {
-  const surroundings = surroundingsOf(keeperContainer(settings));
-  const keeper = await Keeper.start(settings, surroundings);
+  const dependencies = keeperDependencies(keeperContainer(settings));
+  const keeper = await Keeper.start(settings, dependencies);
   return {
     close: async () => {
       await keeper.close();
-      await surroundings.log.close();
-      await surroundings.hostList.close();
-      await surroundings.metrics.close();
+      await dependencies.log.close();
+      await dependencies.hostList.close();
+      await dependencies.metrics.close();
     },
   };
 }
--- a/packages/keeper/src/member-order.ts
+++ b/packages/keeper/src/member-order.ts
@@ -1,11 +1,12 @@
 import type {ProcessIdentity} from '@wisteriadeal/schema';
 
 /**
- * The order in which peers were heard from says nothing. Left in the message, it
- * made each heartbeat of a larger fleet look like a change, which went to every
- * router, whose answer was the next change.
+ * Sorts members by incarnation, in place. The order in which heartbeats arrive has
+ * no meaning. When it was visible in the membership, each heartbeat in a larger
+ * fleet looked like a change and was sent to every router, whose answer caused the
+ * next change.
  */
-export function inOrder<
+export function sortMembers<
   Member extends {readonly identity?: ProcessIdentity | undefined},
 >(members: Member[]): Member[] {
   const incarnationOf = (member: Member) => member.identity?.incarnation ?? '';
--- a/packages/keeper/src/membership-table.ts
+++ b/packages/keeper/src/membership-table.ts
@@ -13,25 +13,26 @@
   type RouterMember,
 } from '@wisteriadeal/schema';
 
-import {inOrder} from './member-order.js';
+import {sortMembers} from './member-order.js';
 import {PlatformListing} from './platform-listing.js';
-import {RankedChoice} from './ranked-choice.js';
+import {RendezvousCache} from './rendezvous-cache.js';
 
-/** A keeper not heard from for so many limits is forgotten. */
-const FORGET_LIMITS = 20;
+/** A keeper is removed after this many heartbeat limits without a heartbeat. */
+const EXPIRY_HEARTBEAT_LIMITS = 20;
 
 interface KnownKeeper {
   readonly identity: ProcessIdentity;
   state: HostState;
-  heardAt: number;
+  lastHeartbeatAt: number;
   routers: readonly RouterMember[];
   nextOffsets: Readonly<Record<string, number>>;
   leavingEndpoints: readonly string[];
 }
 
 /**
- * Who is live, from this keeper's own view: the platform's list says whom to
- * ask, and a peer counts as reachable while it was heard from within the limit.
+ * The live processes as seen by this keeper. The platform's host list names the
+ * peers to contact, and a peer counts as reachable while its last heartbeat is not
+ * older than the heartbeat limit.
  */
 export class MembershipTable {
   private readonly keepers = new Map<string, KnownKeeper>();
@@ -39,40 +40,40 @@
   private readonly platform = new PlatformListing();
   private ownState = HostState.LIVE;
   private readonly listeners: (() => void)[] = [];
-  private lastMembership = '';
-  private readonly holders = new RankedChoice();
-  private readonly witnesses = new RankedChoice();
+  private lastMembershipJson = '';
+  private readonly holderChoices = new RendezvousCache();
+  private readonly witnessChoices = new RendezvousCache();
 
   constructor(
     readonly self: ProcessIdentity,
     private readonly heartbeatLimitMilliseconds: number,
     private readonly clock: Clock,
-    private readonly witnessPatienceMilliseconds = heartbeatLimitMilliseconds,
+    private readonly witnessTimeoutMilliseconds = heartbeatLimitMilliseconds,
   ) {}
 
-  /** Calls back when the membership that routers see has changed. */
-  listen(listener: () => void): void {
+  /** Adds a listener that is called when the membership sent to routers has changed. */
+  addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** This keeper takes no more work. */
-  leave(): void {
+  /** Marks this keeper as leaving, so that it is no longer chosen as a holder. */
+  startLeaving(): void {
     this.ownState = HostState.LEAVING;
     this.refresh();
   }
 
-  /** Whether this keeper is on its way out. */
+  /** Whether this keeper is leaving. */
   get isLeaving(): boolean {
     return this.ownState === HostState.LEAVING;
   }
 
-  /** Takes a reading of the platform's list. */
-  list(listing: HostListing): void {
-    this.platform.take(listing);
+  /** Applies the platform's host list as it was last read. */
+  updateListing(listing: HostListing): void {
+    this.platform.update(listing);
     this.refresh();
   }
 
-  /** Addresses of keepers that the platform lists, without this one. */
+  /** Addresses of the keepers on the platform's host list, without this one. */
   get listedAddresses(): readonly {address: string; dataCenter: string}[] {
     return this.platform.hosts
       .filter(host => host.host !== this.self.host)
@@ -82,8 +83,8 @@
       }));
   }
 
-  /** A peer was heard from. */
-  heard(message: GossipMessage): void {
+  /** Applies a peer's heartbeat. */
+  recordHeartbeat(message: GossipMessage): void {
     const {sender} = message;
     if (sender === undefined || sender.incarnation === this.self.incarnation) {
       return;
@@ -95,7 +96,7 @@
     this.keepers.set(sender.incarnation, {
       identity: sender,
       state,
-      heardAt: this.clock.monotonicMilliseconds(),
+      lastHeartbeatAt: this.clock.monotonicMilliseconds(),
       routers: message.routers,
       nextOffsets: message.nextOffsets,
       leavingEndpoints: message.leavingEndpoints,
@@ -103,7 +104,7 @@
     this.refresh();
   }
 
-  /** A router opened or ended its session with this keeper. */
+  /** Sets the routers that have a session with this keeper. */
   setOwnRouters(routers: readonly ProcessIdentity[]): void {
     this.ownRouters = new Map(
       routers.map(router => [router.incarnation, router]),
@@ -111,23 +112,24 @@
     this.refresh();
   }
 
-  /** Whether a peer was heard from within the limit; true for this keeper. */
+  /** Whether a peer's last heartbeat is within the limit; always true for this keeper. */
   isReachable(incarnation: string): boolean {
     return (
       incarnation === this.self.incarnation ||
-      this.silenceMilliseconds(incarnation) <= this.heartbeatLimitMilliseconds
+      this.millisecondsSinceHeartbeat(incarnation) <=
+        this.heartbeatLimitMilliseconds
     );
   }
 
-  /** How long a peer has been silent; Infinity where it was never heard. */
-  silenceMilliseconds(incarnation: string): number {
+  /** Time since a peer's last heartbeat; Infinity if there was none. */
+  millisecondsSinceHeartbeat(incarnation: string): number {
     const keeper = this.keepers.get(incarnation);
     return keeper === undefined
       ? Infinity
-      : this.clock.monotonicMilliseconds() - keeper.heardAt;
+      : this.clock.monotonicMilliseconds() - keeper.lastHeartbeatAt;
   }
 
-  /** A known keeper. */
+  /** Returns the identity of a known keeper, with the address by which this host reaches it. */
   identityOf(incarnation: string): ProcessIdentity | undefined {
     if (incarnation === this.self.incarnation) {
       return this.self;
@@ -135,23 +137,23 @@
     const identity = this.keepers.get(incarnation)?.identity;
     return identity === undefined
       ? undefined
-      : this.platform.keeperAsReached(identity);
+      : this.platform.withReachableAddress(identity);
   }
 
-  /** Other keepers that can be reached, not leaving. */
+  /** Other keepers that are reachable and not leaving. */
   get reachablePeers(): readonly ProcessIdentity[] {
     return this.peersHeardWithin(this.heartbeatLimitMilliseconds);
   }
 
-  /** Reachable peers that have read a stream further than `offset`. */
-  peersBeyond(stream: string, offset: number): readonly ProcessIdentity[] {
+  /** Returns reachable peers that have read a stream beyond `offset`. */
+  peersAheadOf(stream: string, offset: number): readonly ProcessIdentity[] {
     return this.reachablePeers.filter(
       peer =>
         (this.keepers.get(peer.incarnation)?.nextOffsets[stream] ?? 0) > offset,
     );
   }
 
-  /** The holder of an organisation in this data centre. */
+  /** Returns the holder of an organisation in this data centre. */
   holderOf(organisation: string): string | undefined {
     const candidates = this.reachablePeers
       .filter(peer => peer.dataCenter === this.self.dataCenter)
@@ -159,17 +161,18 @@
     if (!this.isLeaving) {
       candidates.push(this.self.incarnation);
     }
-    return this.holders.best(organisation, candidates);
+    return this.holderChoices.choose(organisation, candidates);
   }
 
   /**
-   * The peer that should witness this keeper's grants of an organisation: in
-   * its own data centre where there is one, else elsewhere; another host always.
+   * Returns the peer that should witness this keeper's grants of an organisation.
+   * It is always on another host, and in the same data centre if possible.
    *
-   * Load: this process, or the machine, was held up, and all peers seem silent. Harm
-   * of naming nobody at once: nobody can take the grant back if this host is lost.
+   * After a stall of this process or its host, all peers seem to be unreachable. A
+   * grant that lost its witness at once could not be reclaimed if this host died,
+   * so peers whose last heartbeat is within the witness timeout then count too.
    *
-   * @returns Undefined once all peers have been silent for the witness's patience.
+   * @returns Undefined if no peer's last heartbeat is within the witness timeout.
    */
   witnessFor(organisation: string): string | undefined {
     const reachable = this.witnessesHeardWithin(
@@ -178,10 +181,12 @@
     const peers =
       reachable.length > 0
         ? reachable
-        : this.witnessesHeardWithin(this.witnessPatienceMilliseconds);
-    const near = peers.filter(peer => peer.dataCenter === this.self.dataCenter);
-    const candidates = near.length > 0 ? near : peers;
-    return this.witnesses.best(
+        : this.witnessesHeardWithin(this.witnessTimeoutMilliseconds);
+    const local = peers.filter(
+      peer => peer.dataCenter === this.self.dataCenter,
+    );
+    const candidates = local.length > 0 ? local : peers;
+    return this.witnessChoices.choose(
       organisation,
       candidates.map(peer => peer.incarnation),
     );
@@ -200,12 +205,12 @@
       .filter(
         ({state, identity}) =>
           state === HostState.LIVE &&
-          this.silenceMilliseconds(identity.incarnation) <= milliseconds,
+          this.millisecondsSinceHeartbeat(identity.incarnation) <= milliseconds,
       )
-      .map(keeper => this.platform.keeperAsReached(keeper.identity));
+      .map(keeper => this.platform.withReachableAddress(keeper.identity));
   }
 
-  /** Data centres with a live keeper, as far as is known; at least this one. */
+  /** Data centres with a live host on the host list or a known keeper, including this one. */
   get dataCenters(): ReadonlySet<string> {
     return new Set([
       this.self.dataCenter,
@@ -214,31 +219,31 @@
     ]);
   }
 
-  /** Whether a router is known to be live. */
-  router(incarnation: string): ProcessIdentity | undefined {
+  /** Returns the identity of a router, or undefined if it is not known to be live. */
+  liveRouter(incarnation: string): ProcessIdentity | undefined {
     return this.routers.find(
       router => router.identity?.incarnation === incarnation,
     )?.identity;
   }
 
-  /** What routers are told. */
+  /** The membership that is sent to routers. */
   get membership(): Membership {
     const others = [...this.keepers.values()].map(keeper =>
       create(KeeperMemberSchema, {
-        identity: this.platform.keeperAsReached(keeper.identity),
+        identity: this.platform.withReachableAddress(keeper.identity),
         state: keeper.state,
         reachable: this.isReachable(keeper.identity.incarnation),
       }),
     );
     return create(MembershipSchema, {
-      keepers: inOrder([this.ownMember, ...others]),
-      routers: inOrder([...this.routers]),
+      keepers: sortMembers([this.ownMember, ...others]),
+      routers: sortMembers([...this.routers]),
       leavingEndpoints: [...this.leavingEndpoints],
     });
   }
 
-  /** What peers are told. */
-  gossip(
+  /** Creates the heartbeat that is sent to peers. */
+  createGossip(
     configurationVersion: number,
     nextOffsets: Record<string, number>,
   ): GossipMessage {
@@ -252,17 +257,17 @@
     });
   }
 
-  /** Forgets the long silent and tells listeners of what changed. */
+  /** Removes expired keepers, and notifies listeners if the membership has changed. */
   refresh(): void {
-    const limit = FORGET_LIMITS * this.heartbeatLimitMilliseconds;
+    const limit = EXPIRY_HEARTBEAT_LIMITS * this.heartbeatLimitMilliseconds;
     for (const incarnation of [...this.keepers.keys()]) {
-      if (this.silenceMilliseconds(incarnation) > limit) {
+      if (this.millisecondsSinceHeartbeat(incarnation) > limit) {
         this.keepers.delete(incarnation);
       }
     }
-    const text = JSON.stringify(this.membership);
-    if (text !== this.lastMembership) {
-      this.lastMembership = text;
+    const json = JSON.stringify(this.membership);
+    if (json !== this.lastMembershipJson) {
+      this.lastMembershipJson = json;
       this.listeners.forEach(listener => {
         listener();
       });
@@ -291,7 +296,7 @@
     for (const member of [
       ...this.ownRouterMembers,
       ...reachable.flatMap(keeper =>
-        this.platform.routersAsReached(keeper.routers),
+        this.platform.withReachableAddresses(keeper.routers),
       ),
     ]) {
       known.set(member.identity?.incarnation ?? '', member);
@@ -300,10 +305,10 @@
   }
 
   /**
-   * The platform's list lags and a data centre may be cut off from it, so what
-   * any reachable peer has read as leaving counts as leaving. Peers pass on only
-   * their own reading, so that an endpoint that came back is not kept out by
-   * keepers that repeat one another.
+   * Endpoints that this keeper or any reachable peer has read as leaving. Peers
+   * are included since the platform's list lags and a data centre may be cut off
+   * from it. Each keeper sends only what it has read itself; otherwise keepers
+   * would confirm each other's state and exclude an endpoint that came back.
    */
   private get leavingEndpoints(): readonly string[] {
     const reachable = [...this.keepers.values()].filter(keeper =>
--- a/packages/keeper/src/organisation-grants.ts
+++ b/packages/keeper/src/organisation-grants.ts
@@ -11,77 +11,78 @@
 import {Acknowledgement} from './witness-link.js';
 
 /**
- * Demand of the last minutes decides how large grants are; shorter, and a data
- * centre with a few requests a minute is judged by their chance.
+ * Half-life of the demand estimate that decides the size of grants. With a shorter
+ * one, the estimate of a data centre with a few requests per minute would depend
+ * on when they happen to arrive.
  */
 export const DEMAND_HALF_LIFE_MILLISECONDS = 600_000;
-/** Before any request was seen: a common bound of chat completions. */
-const FIRST_BOUND_TOKENS = 2_048;
-/** The largest bound seen counts until this share of smaller ones came since. */
-const BOUND_DECAY = 0.98;
-/** Between two tries of one reservation. */
-const RETRY_MILLISECONDS = 50;
-
-/** How a reservation ended. */
+/** Largest bound before the first request, in tokens: a common bound of chat completions. */
+const INITIAL_BOUND_TOKENS = 2_048;
+/** Factor by which the largest bound decays with each later request. */
+const LARGEST_BOUND_DECAY = 0.98;
+/** Interval between attempts to make one reservation. */
+const RETRY_INTERVAL_MILLISECONDS = 50;
+
+/** The result of a reservation. */
 export enum ReserveOutcome {
   Reserved = 'reserved',
-  /** What the holder can reach does not cover the bound. */
-  Budget = 'budget',
-  /** Neither a witness nor the log took note of it. */
+  /** No grant that this holder has or could get in time covers the bound. */
+  BudgetExhausted = 'budget-exhausted',
+  /** Neither a witness nor the log confirmed the reservation. */
   Unavailable = 'unavailable',
 }
 
-/** A reservation's outcome; `holding` is set where it was reserved. */
+/** A reservation's outcome; `holding` is set if the outcome is `Reserved`. */
 export interface ReserveAnswer {
   readonly outcome: ReserveOutcome;
   readonly holding?: GrantHolding;
 }
 
-/** The grants that this keeper holds of one organisation, and who waits. */
+/** This keeper's grants of one organisation, and the requests that wait for tokens. */
 export class OrganisationGrants {
   readonly holdings = new Map<string, GrantHolding>();
-  /** Tokens asked for on the log and not yet decided. */
+  /** Tokens of grant requests that the log has not decided yet. */
   requestedTokens = 0;
   private readonly demand = new RateEstimate(DEMAND_HALF_LIFE_MILLISECONDS);
   private readonly waitingBounds = new Map<string, number>();
-  private largestBound = FIRST_BOUND_TOKENS;
+  private largestBound = INITIAL_BOUND_TOKENS;
 
   constructor(
     readonly organisation: string,
     private readonly replicator: Pick<BookReplicator, 'commit'>,
     private readonly clock: Clock,
-    private readonly wanted: () => void,
-    private readonly remainingOnLog: () => number | undefined,
+    private readonly onTokensNeeded: () => void,
+    private readonly loggedRemainingTokens: () => number | undefined,
   ) {}
 
   /**
-   * What is left of the whole budget, wherever it stands: by the log, less what
-   * is settled here and not billed there yet. Infinity before the log credited
-   * anything: the opening budget is then still on its way.
+   * Remaining tokens of the whole budget, across all holders: the remainder on the
+   * log less the bills that were settled here and are not folded yet. Infinity
+   * while the log has no credit, as the opening budget is not folded yet.
    */
   private get remainingTokens(): number {
     const unbilled = [...this.holdings.values()]
       .flatMap(({book}) => book.unfoldedBills)
       .reduce((sum, bill) => sum + bill.tokens, 0);
-    return (this.remainingOnLog() ?? Infinity) - unbilled;
+    return (this.loggedRemainingTokens() ?? Infinity) - unbilled;
   }
 
-  /** Tokens settled a second lately. */
+  /** Recently settled tokens per second. */
   get demandTokensPerSecond(): number {
     return this.demand.perSecond(this.clock.monotonicMilliseconds());
   }
 
-  /** The largest bound lately. */
+  /** The largest recent bound of a request, after decay. */
   get largestBoundTokens(): number {
     return Math.ceil(this.largestBound);
   }
 
-  /** The largest bound that waits now; 0 where nothing waits. */
+  /** The largest bound of the waiting requests; 0 if none waits. */
   get waitingBoundTokens(): number {
     return Math.max(0, ...this.waitingBounds.values());
   }
 
-  /** What can be reserved in one piece. */
+  /** The largest bound that can be reserved now, from a single grant. */
   get largestSpendableTokens(): number {
     return Math.max(
       0,
@@ -89,7 +90,7 @@
     );
   }
 
-  /** What can be reserved in all. */
+  /** Tokens that can be reserved now, from all grants together. */
   get spendableTokens(): number {
     return [...this.holdings.values()].reduce(
       (sum, holding) => sum + holding.spendableTokens,
@@ -97,26 +98,29 @@
     );
   }
 
-  /** Notes what a request really used. */
-  noteDemand(tokens: number): void {
+  /** Adds the tokens that a request has used to the demand estimate. */
+  recordDemand(tokens: number): void {
     this.demand.add(tokens, this.clock.monotonicMilliseconds());
   }
 
   /**
-   * Reserves a request's bound, waiting for tokens up to the limit.
+   * Reserves a request's bound, and waits for tokens up to the timeout.
    *
-   * Load: a burst that empties the grant before the refill stands on the log.
-   * Harm: refusing though budget remains. Waiting is limited, since a caller
-   * that is refused late has lost the time to try elsewhere.
+   * A burst can exhaust the grant before the refill is on the log; without waiting,
+   * requests would be refused although budget remains. The wait is limited, since
+   * a caller that is refused late has less time to try elsewhere.
    */
   async reserve(
     reservation: RequestReservation,
-    limitMilliseconds: number,
+    timeoutMilliseconds: number,
   ): Promise<ReserveAnswer> {
     const requestId = reservation.reservation?.requestId ?? '';
     const bound = reservation.reservation?.boundTokens ?? 0;
-    const deadline = this.clock.monotonicMilliseconds() + limitMilliseconds;
-    this.largestBound = Math.max(bound, this.largestBound * BOUND_DECAY);
+    const deadline = this.clock.monotonicMilliseconds() + timeoutMilliseconds;
+    this.largestBound = Math.max(
+      bound,
+      this.largestBound * LARGEST_BOUND_DECAY,
+    );
     for (;;) {
       let outcome = ReserveOutcome.Unavailable;
       const holding = this.holdingFor(bound);
@@ -127,23 +131,24 @@
           return {outcome: ReserveOutcome.Reserved, holding};
         }
       } else {
-        outcome = ReserveOutcome.Budget;
+        outcome = ReserveOutcome.BudgetExhausted;
         this.waitingBounds.set(requestId, bound);
-        this.wanted();
+        this.onTokensNeeded();
       }
-      // The whole budget does not cover it: no refill, return or peer can help,
-      // and a refusal that is certain must not be held back.
-      const hopeless =
-        outcome === ReserveOutcome.Budget && this.remainingTokens < bound;
-      if (hopeless || this.clock.monotonicMilliseconds() >= deadline) {
+      // If the whole budget does not cover the bound, no refill, return or peer can
+      // help, so the request is refused without waiting for the timeout.
+      const cannotBeCovered =
+        outcome === ReserveOutcome.BudgetExhausted &&
+        this.remainingTokens < bound;
+      if (cannotBeCovered || this.clock.monotonicMilliseconds() >= deadline) {
         this.waitingBounds.delete(requestId);
         return {outcome};
       }
-      await this.clock.sleep(RETRY_MILLISECONDS);
+      await this.clock.sleep(RETRY_INTERVAL_MILLISECONDS);
     }
   }
 
-  /** The smallest holding that covers the bound, so that large ones stay whole. */
+  /** Returns the smallest holding that covers the bound, to keep larger ones for larger bounds. */
   private holdingFor(bound: number): GrantHolding | undefined {
     return [...this.holdings.values()]
       .filter(
@@ -163,12 +168,12 @@
     const copy = clone(RequestReservationSchema, reservation);
     const change = holding.book.reserve(copy);
     if (change === undefined) {
-      return Acknowledgement.Lost;
+      return Acknowledgement.Unconfirmed;
     }
     const acknowledged = await this.replicator.commit(holding, change);
     if (acknowledged !== Acknowledgement.Applied) {
-      // Nothing was dispatched on it; the witness learns of the release with the
-      // next change or the next whole book.
+      // The request was not dispatched. If this message is lost, the witness gets
+      // the release with the next full book.
       const released = holding.book.release(copy.reservation?.requestId ?? '');
       if (released !== undefined) {
         void this.replicator.commit(holding, released);
--- a/packages/keeper/src/orphan-settler.ts
+++ b/packages/keeper/src/orphan-settler.ts
@@ -18,17 +18,17 @@
 } from './request-registry.js';
 import type {SettlementService} from './settlement-service.js';
 
-/** An engine that does not answer within this time can't be asked. */
-const ASK_LIMIT_MILLISECONDS = 3_000;
+/** How long to wait at most for an engine's usage report. */
+const ENGINE_TIMEOUT_MILLISECONDS = 3_000;
 
 /**
- * Settles requests whose router is lost and whose caller did not come back: an
- * engine that can be asked tells the real usage; where nobody can tell, the
- * bound is charged and the bill is marked unconfirmed, so that the books stay
- * honest in both directions.
+ * Settles requests whose router was lost and whose caller did not retry. If the
+ * engine reports the usage, the request is charged for it. Otherwise the bound is
+ * charged and the bill is marked unconfirmed, so that the books neither omit usage
+ * nor present an estimate as measured.
  */
 export class OrphanSettler {
-  private readonly settling = new Set<string>();
+  private readonly settlingRequests = new Set<string>();
 
   constructor(
     private readonly registry: RequestRegistry,
@@ -41,30 +41,31 @@
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Looks for requests to settle. */
+  /** Marks requests of lost routers as orphaned, and settles those that have waited long enough. */
   review(): void {
     for (const request of this.registry.inPhase(RequestPhase.Running)) {
-      // Inherited requests have no session here whose end would tell.
-      if (this.membership.router(request.router) === undefined) {
-        this.registry.enter(request, RequestPhase.Orphaned);
+      // Requests inherited from a lost holder may have no session here, so no end
+      // of a session would mark them as orphaned.
+      if (this.membership.liveRouter(request.router) === undefined) {
+        this.registry.enterPhase(request, RequestPhase.Orphaned);
       }
     }
     const now = this.clock.monotonicMilliseconds();
     for (const request of this.registry.inPhase(RequestPhase.Orphaned)) {
       if (
-        now - request.since > this.orphanWaitMilliseconds &&
-        !this.settling.has(request.requestId)
+        now - request.phaseEnteredAt > this.orphanWaitMilliseconds &&
+        !this.settlingRequests.has(request.requestId)
       ) {
-        this.settling.add(request.requestId);
+        this.settlingRequests.add(request.requestId);
         void this.settle(request).finally(() => {
-          this.settling.delete(request.requestId);
+          this.settlingRequests.delete(request.requestId);
         });
       }
     }
   }
 
   private async settle(request: TrackedRequest): Promise<void> {
-    const bill = await this.askEngine(request);
+    const bill = await this.billFromEngine(request);
     if (request.phase !== RequestPhase.Orphaned) {
       return;
     }
@@ -77,17 +78,17 @@
     await this.settlements.settleBill(request.organisation, bill);
   }
 
-  private async askEngine(request: TrackedRequest): Promise<Bill> {
-    const endpoint = this.engineOf(request.attempt.endpoint);
+  private async billFromEngine(request: TrackedRequest): Promise<Bill> {
+    const endpoint = this.modelEndpoint(request.attempt.endpoint);
     if (endpoint === undefined) {
       return unconfirmedBill(request);
     }
     const engine = this.engines.connect(endpoint.name, endpoint.address);
     try {
-      // Cancelling also frees the slot of work that nobody waits for.
+      // Cancelling also frees the engine's slot, as no caller waits for the answer.
       const status = await engine.cancel(
         request.attempt.attemptId,
-        AbortSignal.timeout(ASK_LIMIT_MILLISECONDS),
+        AbortSignal.timeout(ENGINE_TIMEOUT_MILLISECONDS),
       );
       return status.known
         ? confirmedBill(
@@ -97,7 +98,7 @@
           )
         : unconfirmedBill(request);
     } catch (error) {
-      this.eventLog.debug('engine could not be asked', {
+      this.eventLog.debug('engine usage query failed', {
         request: request.requestId,
         peer: endpoint.name,
         reason: String(error),
@@ -108,7 +109,7 @@
     }
   }
 
-  private engineOf(name: string): Endpoint | undefined {
+  private modelEndpoint(name: string): Endpoint | undefined {
     const {configuration} = this.configuration;
     const endpoint = configuration?.endpoints.find(
       candidate => candidate.name === name,
--- a/packages/keeper/src/peer-clients.ts
+++ b/packages/keeper/src/peer-clients.ts
@@ -5,18 +5,22 @@
 } from '@connectrpc/connect-node';
 import {KeeperService} from '@wisteriadeal/schema';
 
-/** A peer whose machine vanished is noticed by missing answers to PING. */
-const PING_MILLISECONDS = 10_000;
+/** Interval of HTTP/2 PING frames; a missing answer shows that the peer's host was lost. */
+const PING_INTERVAL_MILLISECONDS = 10_000;
 const PING_TIMEOUT_MILLISECONDS = 2_000;
 
-/** The control services of one keeper. */
+/** A client of the control service of one keeper. */
 export type KeeperClient = Client<typeof KeeperService>;
 
-/** Clients of other keepers, one HTTP/2 connection an address. */
+/** Clients of other keepers, with one HTTP/2 connection per address. */
 export class PeerClients {
   private readonly clients = new Map<string, KeeperClient>();
 
-  /** @param address `IP:port`. */
+  /**
+   * Returns the client of a keeper, and creates it on first use.
+   *
+   * @param address `IP:port`.
+   */
   client(address: string): KeeperClient {
     const known = this.clients.get(address);
     if (known !== undefined) {
@@ -24,7 +28,7 @@
     }
     const baseUrl = `http://${address}`;
     const sessionManager = new Http2SessionManager(baseUrl, {
-      pingIntervalMs: PING_MILLISECONDS,
+      pingIntervalMs: PING_INTERVAL_MILLISECONDS,
       pingTimeoutMs: PING_TIMEOUT_MILLISECONDS,
     });
     const transport = createConnectTransport({
@@ -38,9 +42,9 @@
   }
 
   /**
-   * Lets go of every connection. Streams are ended by their own signals, and a
-   * connection without streams does not keep a process alive. `abort` of the
-   * session manager is not called: when the peer closes at the same moment, it
+   * Drops all clients. Streams are ended by their own signals, and a connection
+   * without streams does not keep the process alive. `abort` of the session manager
+   * is not called: if the peer closes the connection at the same moment, `abort`
    * leaves the socket's error without a listener, which ends the process.
    */
   close(): void {
--- a/packages/keeper/src/platform-listing.ts
+++ b/packages/keeper/src/platform-listing.ts
@@ -11,70 +11,75 @@
   type RouterMember,
 } from '@wisteriadeal/schema';
 
-/** The platform's list as it was last read. */
+/** The platform's list of hosts and endpoints as it was last read. */
 export class PlatformListing {
-  private readonly everListed = new Set<string>();
+  private readonly endpointsEverListed = new Set<string>();
   private readonly hostsEverListed = new Map<string, ListedHost>();
   private listing: HostListing = {hosts: [], endpoints: []};
 
-  /** Takes a reading. */
-  take(listing: HostListing): void {
+  /** Replaces the list by a newer one. */
+  update(listing: HostListing): void {
     this.listing = listing;
     for (const {endpoint} of listing.endpoints) {
-      this.everListed.add(endpoint);
+      this.endpointsEverListed.add(endpoint);
     }
     for (const host of listing.hosts) {
       this.hostsEverListed.set(host.host, host);
     }
   }
 
-  /** Every listed host. */
+  /** All hosts on the list. */
   get hosts(): readonly ListedHost[] {
     return this.listing.hosts;
   }
 
-  /** A host as the list named it last, whether or not it still does. */
-  lastKnown(host: string): ListedHost | undefined {
+  /** Returns the last list entry of a host, even if the host is no longer listed. */
+  lastListed(host: string): ListedHost | undefined {
     return this.hostsEverListed.get(host);
   }
 
-  /** Data centres with a live host. */
+  /** Data centres with a live host; one entry per host. */
   get liveDataCenters(): readonly string[] {
     return this.hosts
       .filter(host => host.state === ListedState.Live)
       .map(host => host.dataCenter);
   }
 
-  /** Endpoints that the list calls leaving, or named once and no longer. */
+  /** Endpoints that are listed as leaving, or were listed before and no longer are. */
   get leavingEndpoints(): readonly string[] {
     const live = new Set(
       this.listing.endpoints
         .filter(endpoint => endpoint.state === ListedState.Live)
         .map(endpoint => endpoint.endpoint),
     );
-    return [...this.everListed].filter(endpoint => !live.has(endpoint));
+    return [...this.endpointsEverListed].filter(
+      endpoint => !live.has(endpoint),
+    );
   }
 
   /**
-   * A keeper with the address by which this host reaches it. Addresses differ by
-   * viewer where data centres reach each other over another network than their
-   * own hosts do; what a peer says of itself holds only next to it. Symptom
-   * without this: a host that is listed, and yet not reached from elsewhere.
+   * Returns a keeper's identity with the address by which this host reaches it.
+   * The address that a peer announces may be valid only in its own data centre, as
+   * data centres can be connected by another network than the hosts within one.
+   * Without this, a listed host can't be reached from other data centres.
    */
-  keeperAsReached(identity: ProcessIdentity): ProcessIdentity {
-    return withAddress(identity, this.lastKnown(identity.host)?.keeperAddress);
+  withReachableAddress(identity: ProcessIdentity): ProcessIdentity {
+    return withAddress(identity, this.lastListed(identity.host)?.keeperAddress);
   }
 
   /**
-   * Routers likewise. A keeper tells of all routers that have a session with it,
-   * so each one's own host says where it is.
+   * Returns routers with the addresses by which this host reaches them. A keeper
+   * announces all routers that have a session with it, also of other hosts, so the
+   * address comes from the list entry of each router's own host.
    */
-  routersAsReached(routers: readonly RouterMember[]): readonly RouterMember[] {
+  withReachableAddresses(
+    routers: readonly RouterMember[],
+  ): readonly RouterMember[] {
     return routers.flatMap(({identity, state}) => {
       if (identity === undefined) {
         return [];
       }
-      const listed = this.lastKnown(identity.host);
+      const listed = this.lastListed(identity.host);
       const reached = withAddress(identity, listed?.routerControlAddress);
       return [create(RouterMemberSchema, {identity: reached, state})];
     });
--- a/packages/keeper/src/recent-records.ts
+++ b/packages/keeper/src/recent-records.ts
@@ -1,17 +1,18 @@
 import type {LogRecord} from '@wisteriadeal/platform';
 
 /**
- * Records kept for peers that can't read the log, a stream. A peer further
- * behind gets a checkpoint first, so the limit costs bytes and not correctness.
+ * Maximum size of the payloads kept per stream for peers that can't read the log.
+ * A peer that is further behind gets a checkpoint first, so the limit affects the
+ * bytes that are sent but not correctness.
  */
-const MAXIMUM_BYTES = 8 * 1_024 * 1_024;
+const MAXIMUM_BYTES_PER_STREAM = 8 * 1_024 * 1_024;
 
-/** The latest records of one stream, without gaps. */
+/** Buffer of the latest records of one stream, without gaps. */
 export class RecentRecords {
   private records: LogRecord[] = [];
   private bytes = 0;
 
-  /** The oldest offset kept; undefined where none is. */
+  /** Offset of the oldest kept record; undefined if the buffer is empty. */
   get firstOffset(): number | undefined {
     return this.records[0]?.offset;
   }
@@ -20,18 +21,18 @@
   add(record: LogRecord): void {
     this.records.push(record);
     this.bytes += record.payload.byteLength;
-    if (this.bytes > MAXIMUM_BYTES) {
-      this.dropOldHalf();
+    if (this.bytes > MAXIMUM_BYTES_PER_STREAM) {
+      this.evictOldestHalf();
     }
   }
 
-  /** Forgets everything: what follows does not join on. */
+  /** Removes all records, for the case that the next one does not follow on them. */
   clear(): void {
     this.records = [];
     this.bytes = 0;
   }
 
-  /** Records from an offset on, at most `limit`. */
+  /** Returns the kept records from an offset on, at most `limit`. */
   from(offset: number, limit: number): readonly LogRecord[] {
     const first = this.firstOffset;
     if (first === undefined) {
@@ -41,7 +42,7 @@
     return this.records.slice(start, start + limit);
   }
 
-  private dropOldHalf(): void {
+  private evictOldestHalf(): void {
     this.records = this.records.slice(Math.ceil(this.records.length / 2));
     this.bytes = this.records.reduce(
       (sum, record) => sum + record.payload.byteLength,
--- a/packages/keeper/src/reclaimer.ts
+++ b/packages/keeper/src/reclaimer.ts
@@ -12,29 +12,29 @@
 import type {MembershipTable} from './membership-table.js';
 
 /**
- * Takes back the grants of lost holders.
+ * Reclaims the grants of lost holders that this keeper witnesses.
  *
- * The delay decides only whether fencing is worth while. Whether it is safe does
- * not depend on it: see the witness's book.
+ * The timeout after which a holder counts as lost affects only how often a live
+ * holder is fenced. Safety does not depend on it, see `WitnessBook`.
  */
 export class Reclaimer {
   private readonly reclaiming = new Set<string>();
-  private readonly firstMissed = new Map<string, number>();
-  /** Request identifiers of bills submitted for lost holders, until folded. */
+  private readonly firstMissedAt = new Map<string, number>();
+  /** Request identifiers of bills that were submitted for lost holders and not folded yet. */
   private readonly pendingBills = new Set<string>();
-  private reclaims = 0;
+  private submittedReclaims = 0;
 
   constructor(
     private readonly membership: MembershipTable,
     private readonly replicas: LedgerReplicas,
     private readonly witnessBook: WitnessBook,
     private readonly appender: LedgerAppender,
-    private readonly patienceMilliseconds: number,
+    private readonly holderTimeoutMilliseconds: number,
     private readonly now: () => number,
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Looks for holders that are lost. */
+  /** Reclaims grants or submits bills of holders that are lost. */
   review(): void {
     const {self} = this.membership;
     for (const {ledger} of this.replicas.all) {
@@ -59,11 +59,11 @@
   }
 
   /**
-   * Submits the settled bills of a lost holder whose grant this keeper cannot
-   * reclaim, because the log has not named it as the witness. Otherwise the bills
-   * of a holder that was cut off from the log and died are never written. If the
-   * holder returns and submits them too, the fold counts the first bill of each
-   * request.
+   * Submits the settled bills of a lost holder whose grant this keeper can't
+   * reclaim because the log has not named it as the witness. Otherwise the bills of
+   * a holder that lost its connection to the log and then died would never be
+   * written. If the holder returns and submits them too, the fold counts only the
+   * first bill of each request.
    */
   private submitBills(
     organisation: string,
@@ -92,16 +92,19 @@
     }
   }
 
-  /** A holder that was never heard counts from when it was first missed. */
+  /**
+   * Whether a holder has sent no heartbeat for longer than the timeout. For a holder
+   * without any heartbeat, the time starts with the first call.
+   */
   private isLost(holder: string): boolean {
-    const silence = this.membership.silenceMilliseconds(holder);
+    const silence = this.membership.millisecondsSinceHeartbeat(holder);
     if (Number.isFinite(silence)) {
-      this.firstMissed.delete(holder);
-      return silence > this.patienceMilliseconds;
+      this.firstMissedAt.delete(holder);
+      return silence > this.holderTimeoutMilliseconds;
     }
-    const first = this.firstMissed.get(holder) ?? this.now();
-    this.firstMissed.set(holder, first);
-    return this.now() - first > this.patienceMilliseconds;
+    const first = this.firstMissedAt.get(holder) ?? this.now();
+    this.firstMissedAt.set(holder, first);
+    return this.now() - first > this.holderTimeoutMilliseconds;
   }
 
   private reclaim(organisation: string, grantId: string, holder: string): void {
@@ -120,8 +123,9 @@
       peer: holder,
       openReservations: value.openReservations.length,
     });
-    // A refused reclaim must not make a duplicate of a later one.
-    const entryId = `reclaim:${grantId}:${value.witness}:${this.reclaims++}`;
+    // The counter makes each identifier unique, so that a reclaim that follows a
+    // refused one is not ignored as a duplicate.
+    const entryId = `reclaim:${grantId}:${value.witness}:${this.submittedReclaims++}`;
     void this.appender
       .submit(ledgerEntry(entryId, organisation, {case: 'reclaim', value}))
       .then(({verdict}) => {
@@ -131,16 +135,18 @@
           verdict: verdict.kind,
           reason: verdict.reason,
         });
-        this.reclaimDecided(grantId, verdict);
+        this.handleReclaimVerdict(grantId, verdict);
       });
   }
 
   /**
-   * Load: a slow holder was taken for lost, and has named another witness meanwhile.
-   * Harm of a fence that stays: the holder can never come back to this witness, and
-   * nobody reclaims the grant here once the holder is lost.
+   * Lifts the fence if the log refused the reclaim because another witness is in
+   * force. This happens if a slow holder was treated as lost and has changed its
+   * witness in the meantime. With the fence left in place, the holder could never
+   * use this witness again, and this keeper would not reclaim the grant once the
+   * holder is really lost.
    */
-  private reclaimDecided(grantId: string, {reason}: EntryVerdict): void {
+  private handleReclaimVerdict(grantId: string, {reason}: EntryVerdict): void {
     if (reason === RefusalReason.NotWitness) {
       this.witnessBook.liftFence(grantId);
       this.reclaiming.delete(grantId);
--- a/packages/keeper/src/relay-reader.ts
+++ b/packages/keeper/src/relay-reader.ts
@@ -5,8 +5,8 @@
 import type {StreamReplica} from './stream-replica.js';
 
 /**
- * Reads a stream through a peer while the platform can't be reached. Records are
- * immutable and carry their offset, so it does not matter who passes them on.
+ * Reads a stream through a peer while the platform is unreachable. Records are
+ * immutable and carry their offset, so any peer can relay them.
  */
 export class RelayReader {
   constructor(
@@ -16,13 +16,13 @@
   ) {}
 
   /**
-   * Takes records from a peer that is further ahead, until the signal is
-   * aborted or the peer is lost.
+   * Applies records from a peer that has read further, until the signal is aborted
+   * or the peer's stream ends.
    *
-   * @returns False where no peer is further ahead.
+   * @returns False if no reachable peer has read further.
    */
   async follow(replica: StreamReplica, signal: AbortSignal): Promise<boolean> {
-    const [peer] = this.membership.peersBeyond(
+    const [peer] = this.membership.peersAheadOf(
       replica.stream,
       replica.nextOffset,
     );
@@ -56,7 +56,7 @@
       if (message.firstOffset > replica.nextOffset) {
         replica.restore(message.record, message.firstOffset);
       } else if (message.offset === replica.nextOffset) {
-        replica.take({
+        replica.apply({
           offset: message.offset,
           payload: message.record,
           appendedAtMilliseconds: message.appendedAtMilliseconds,
--- a/packages/keeper/src/relay-server.ts
+++ b/packages/keeper/src/relay-server.ts
@@ -8,17 +8,22 @@
 
 import type {StreamReplica} from './stream-replica.js';
 
-/** Records sent before the follower's pace is looked at again. */
-const BURST_RECORDS = 200;
+/** Records per batch; each batch is read from the buffer after the previous one was sent. */
+const RECORDS_PER_BATCH = 200;
 
-/** Passes records on to peers that can't read the log themselves. */
+/** Relays records to peers that can't read the log themselves. */
 export class RelayServer {
   constructor(
     private readonly self: string,
     private readonly replicas: readonly StreamReplica[],
   ) {}
 
-  /** Serves one follower until it leaves. */
+  /**
+   * Sends the records of a stream to one follower until the signal is aborted. A
+   * follower that is behind the buffered records first gets a checkpoint.
+   *
+   * @throws ConnectError with code NotFound if this keeper has no such stream.
+   */
   async *follow(
     request: FollowStreamRequest,
     signal: AbortSignal,
@@ -37,7 +42,7 @@
         yield this.checkpointMessage(replica);
         continue;
       }
-      const records = replica.recent.from(next, BURST_RECORDS);
+      const records = replica.recent.from(next, RECORDS_PER_BATCH);
       for (const record of records) {
         yield create(FollowStreamMessageSchema, {
           offset: record.offset,
--- a/packages/keeper/src/ranked-choice.ts
+++ b/packages/keeper/src/rendezvous-cache.ts
@@ -1,19 +1,19 @@
 import {chooseHolder} from '@wisteriadeal/ledger';
 
 /**
- * Rendezvous choices, remembered while the candidates stay the same.
+ * Caches the results of rendezvous hashing until the set of candidates changes.
  *
- * Load: every organisation is looked at several times a second. Harm: a hash for
- * each organisation and candidate at each look took a third of an idle keeper's
- * time. Forgetting everything when a candidate comes or goes costs one round of
- * hashes, and hosts come and go far less often than looks.
+ * Every organisation is checked several times per second. Hashing each
+ * organisation with each candidate on every check took a third of an idle keeper's
+ * time. Clearing the whole cache when a candidate is added or removed costs one
+ * round of hashes, and hosts change far less often than checks run.
  */
-export class RankedChoice {
+export class RendezvousCache {
   private candidates = '';
   private readonly chosen = new Map<string, string | undefined>();
 
-  /** The candidate that ranks first for the organisation. */
-  best(
+  /** Returns the candidate that ranks first for the organisation. */
+  choose(
     organisation: string,
     incarnations: readonly string[],
   ): string | undefined {
--- a/packages/keeper/src/request-registry.ts
+++ b/packages/keeper/src/request-registry.ts
@@ -5,17 +5,17 @@
   RequestReservation,
 } from '@wisteriadeal/schema';
 
-/** Where a request stands at its holder. */
+/** The state of a request at its holder. */
 export enum RequestPhase {
-  /** Not yet reserved: nothing was dispatched. */
+  /** The bound is not reserved yet, so the request was not dispatched. */
   Reserving = 'reserving',
   Running = 'running',
-  /** Its router was lost. */
+  /** The router that ran the request was lost. */
   Orphaned = 'orphaned',
   Settled = 'settled',
 }
 
-/** One request, from its registration until its answer is no longer kept. */
+/** A request, from its registration until it is evicted after it was settled. */
 export interface TrackedRequest {
   readonly requestId: string;
   readonly organisation: string;
@@ -24,50 +24,52 @@
   readonly boundTokens: number;
   readonly caller: string;
   attempt: AttemptReference;
-  /** Incarnation of the router that runs it, or ran it last. */
+  /** Incarnation of the router that runs the request, or was the last to run it. */
   router: string;
   phase: RequestPhase;
   grantId: string;
-  /** When the phase was entered, on this process's monotonic clock. */
-  since: number;
+  /** Time at which the phase was entered, in milliseconds of this process's monotonic clock. */
+  phaseEnteredAt: number;
   bill: Bill | undefined;
 }
 
-/** Settled requests kept, so that the registry is bounded in a burst. */
-const MAXIMUM_SETTLED = 20_000;
+/** Maximum number of settled requests kept, which limits memory during a burst. */
+const MAXIMUM_SETTLED_REQUESTS = 20_000;
 
-/** The requests of all organisations that this keeper holds. */
+/** The requests that this keeper tracks as a holder, of all organisations. */
 export class RequestRegistry {
   private readonly requests = new Map<string, TrackedRequest>();
   private readonly settledOrder: string[] = [];
-  /** Claims that this keeper won and that were never dispatched. */
+  /** Requests whose claim was won through this keeper and that were never dispatched. */
   private readonly unusedClaims = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** How many requests are known. */
+  /** Number of tracked requests. */
   get size(): number {
     return this.requests.size;
   }
 
-  /** A known request. */
+  /** Returns a tracked request. */
   get(requestId: string): TrackedRequest | undefined {
     return this.requests.get(requestId);
   }
 
-  /** Registers a request. */
-  add(request: Omit<TrackedRequest, 'since' | 'bill'>): TrackedRequest {
+  /** Starts to track a request. */
+  add(
+    request: Omit<TrackedRequest, 'phaseEnteredAt' | 'bill'>,
+  ): TrackedRequest {
     const tracked = {
       ...request,
-      since: this.clock.monotonicMilliseconds(),
+      phaseEnteredAt: this.clock.monotonicMilliseconds(),
       bill: undefined,
     };
     this.requests.set(request.requestId, tracked);
     return tracked;
   }
 
-  /** Registers a reservation that was inherited from a lost holder. */
-  adopt(
+  /** Starts to track the request of a reservation that was inherited from a lost holder. */
+  addInherited(
     organisation: string,
     grantId: string,
     open: RequestReservation,
@@ -96,53 +98,57 @@
   }
 
   /** Moves a request to another phase. */
-  enter(request: TrackedRequest, phase: RequestPhase): void {
+  enterPhase(request: TrackedRequest, phase: RequestPhase): void {
     request.phase = phase;
-    request.since = this.clock.monotonicMilliseconds();
+    request.phaseEnteredAt = this.clock.monotonicMilliseconds();
   }
 
-  /** A request has its bill. */
+  /** Marks a request as settled with its bill; the first bill is kept. */
   settle(request: TrackedRequest, bill: Bill): void {
     if (request.phase !== RequestPhase.Settled) {
       request.bill = bill;
-      this.enter(request, RequestPhase.Settled);
+      this.enterPhase(request, RequestPhase.Settled);
       this.settledOrder.push(request.requestId);
-      this.limitSettled();
+      this.evictOldestSettled();
     }
   }
 
-  /** Forgets a request that was never dispatched. */
+  /** Removes a request that was never dispatched. */
   remove(requestId: string): void {
     this.requests.delete(requestId);
   }
 
-  /** Notes a claim that was won for a request that did not run. */
-  noteUnusedClaim(requestId: string): void {
+  /** Records that the claim of a request was won but the request did not run. */
+  addUnusedClaim(requestId: string): void {
     this.unusedClaims.add(requestId);
   }
 
-  /** Uses such a claim, once. */
-  takeUnusedClaim(requestId: string): boolean {
+  /**
+   * Removes the unused claim of a request, so that it is used at most once.
+   *
+   * @returns Whether there was one.
+   */
+  consumeUnusedClaim(requestId: string): boolean {
     return this.unusedClaims.delete(requestId);
   }
 
-  /** Requests in a phase. */
+  /** Returns the requests in a phase. */
   inPhase(phase: RequestPhase): readonly TrackedRequest[] {
     return [...this.requests.values()].filter(
       request => request.phase === phase,
     );
   }
 
-  /** Requests of a router that are not settled. */
-  ofRouter(router: string): readonly TrackedRequest[] {
+  /** Returns the requests of a router that are not settled. */
+  unsettledOfRouter(router: string): readonly TrackedRequest[] {
     return [...this.requests.values()].filter(
       request =>
         request.router === router && request.phase !== RequestPhase.Settled,
     );
   }
 
-  private limitSettled(): void {
-    while (this.settledOrder.length > MAXIMUM_SETTLED) {
+  private evictOldestSettled(): void {
+    while (this.settledOrder.length > MAXIMUM_SETTLED_REQUESTS) {
       const oldest = this.settledOrder.shift();
       if (oldest !== undefined) {
         this.requests.delete(oldest);
--- a/packages/keeper/src/request-service.ts
+++ b/packages/keeper/src/request-service.ts
@@ -23,14 +23,17 @@
   type TrackedRequest,
 } from './request-registry.js';
 
-/** A request waits at most this long for tokens or a witness. */
-const RESERVE_LIMIT_MILLISECONDS = 2_000;
-/** A lost holder's grant is back within about this time by default settings. */
-const RECLAIM_LIMIT_MILLISECONDS = 5_000;
-/** When a refusal for lack of a witness may have changed. */
-const UNAVAILABLE_RETRY_MILLISECONDS = 1_000;
+/** How long a request waits at most for tokens or for a witness. */
+const RESERVE_TIMEOUT_MILLISECONDS = 2_000;
+/**
+ * How long a request waits at most for a grant that is being reclaimed. With the
+ * default settings, a lost holder's grant is reclaimed within about this time.
+ */
+const RECLAIM_TIMEOUT_MILLISECONDS = 5_000;
+/** Delay after which a router may retry a request that was answered `UNAVAILABLE`. */
+const UNAVAILABLE_RETRY_DELAY_MILLISECONDS = 1_000;
 
-/** Begins and abandons requests. */
+/** Registers requests and reserves their bounds; releases abandoned requests. */
 export class RequestService {
   constructor(
     private readonly membership: MembershipTable,
@@ -42,7 +45,10 @@
     private readonly witnessBook: WitnessBook,
   ) {}
 
-  /** Registers a request and reserves its bound. */
+  /**
+   * Registers a request and reserves its bound. A request that is already known is
+   * joined, resumed or refused, depending on its phase.
+   */
   async begin(begin: BeginRequest, router: string): Promise<BeginAnswer> {
     const known = this.registry.get(begin.requestId);
     if (known !== undefined) {
@@ -61,7 +67,7 @@
     return this.beginNew(begin, router);
   }
 
-  /** The router is about to send the request to an endpoint. */
+  /** Records the endpoint to which the router is about to send the request. */
   dispatching(message: Dispatching): void {
     const request = this.registry.get(message.requestId);
     if (request === undefined || message.attempt === undefined) {
@@ -79,10 +85,11 @@
   }
 
   /**
-   * Forgets, as the witness of a holder that may be lost, what it reserved for begins
-   * without an answer: their callers are told that nothing ran, and are billed nothing.
+   * Releases the witnessed reservations of begins whose answers were lost, for the
+   * case that the holder is lost too. The callers of these requests were told that
+   * nothing ran, so they must not be billed.
    */
-  forgetLostBegins(message: AbandonRequest, router: string): void {
+  releaseLostBegins(message: AbandonRequest, router: string): void {
     const {requestId, lostBegins} = message;
     this.witnessBook.releaseLostBegins(requestId, router, lostBegins);
   }
@@ -90,9 +97,10 @@
   /**
    * Releases a request that was never dispatched.
    *
-   * Load: a caller that was told "not run" tries another router, and the abandon of the
-   * first one comes late. Harm without a look at the router: the reservation of what
-   * runs is gone, and its bill finds none.
+   * Messages of other routers are ignored. After a "not run" answer, a caller may
+   * retry at another router before the abandon message of the first router arrives.
+   * That message must not release the reservation of the running request, whose
+   * bill would then have no reservation.
    */
   async abandon(message: AbandonRequest, router: string): Promise<void> {
     const request = this.registry.get(message.requestId);
@@ -100,9 +108,10 @@
       return;
     }
     this.registry.remove(message.requestId);
-    // While its claim is on the way to the log, another may still win it.
+    // While the request is reserving, its claim may not be decided yet and another
+    // router may still win it.
     if (!request.idempotent && request.phase !== RequestPhase.Reserving) {
-      this.registry.noteUnusedClaim(message.requestId);
+      this.registry.addUnusedClaim(message.requestId);
     }
     const holding = this.grants.holding(request.organisation, request.grantId);
     const change = holding?.book.release(message.requestId);
@@ -137,17 +146,17 @@
     if (known.bill?.outcome === Outcome.UNKNOWN && !known.idempotent) {
       return beginAnswer(begin, BeginVerdict.OUTCOME_UNKNOWN);
     }
-    return this.membership.router(known.router) === undefined
+    return this.membership.liveRouter(known.router) === undefined
       ? beginAnswer(begin, BeginVerdict.ANSWER_GONE)
       : this.join(begin, known.router);
   }
 
   private join(begin: BeginRequest, router: string): BeginAnswer {
-    const identity = this.membership.router(router);
+    const identity = this.membership.liveRouter(router);
     return identity === undefined
       ? beginAnswer(begin, BeginVerdict.UNAVAILABLE, {
           reason: 'its router is being looked for',
-          retryAfterMilliseconds: UNAVAILABLE_RETRY_MILLISECONDS,
+          retryAfterMilliseconds: UNAVAILABLE_RETRY_DELAY_MILLISECONDS,
         })
       : beginAnswer(begin, BeginVerdict.JOIN, {router: identity});
   }
@@ -158,7 +167,7 @@
     router: string,
   ): BeginAnswer {
     known.router = router;
-    this.registry.enter(known, RequestPhase.Running);
+    this.registry.enterPhase(known, RequestPhase.Running);
     const holding = this.grants.holding(known.organisation, known.grantId);
     const change = holding?.book.reassign(known.requestId, router);
     if (holding !== undefined && change !== undefined) {
@@ -193,7 +202,7 @@
       grantId: '',
     });
     const answer =
-      (await this.refuseUnclaimed(begin, router)) ??
+      (await this.claimOrRefuse(begin, router)) ??
       (await this.reserve(begin, request));
     if (answer.verdict !== BeginVerdict.RESERVED) {
       this.registry.remove(begin.requestId);
@@ -201,7 +210,7 @@
     return answer;
   }
 
-  private async refuseUnclaimed(
+  private async claimOrRefuse(
     begin: BeginRequest,
     router: string,
   ): Promise<BeginAnswer | undefined> {
@@ -209,16 +218,18 @@
       return undefined;
     }
     const outcome = await this.claims.claim(begin, router);
-    if (outcome === ClaimOutcome.Unsettled) {
+    if (outcome === ClaimOutcome.Undecided) {
       return beginAnswer(begin, BeginVerdict.UNAVAILABLE, {
         reason: 'the log could not settle who runs it; it was not dispatched',
-        retryAfterMilliseconds: UNAVAILABLE_RETRY_MILLISECONDS,
+        retryAfterMilliseconds: UNAVAILABLE_RETRY_DELAY_MILLISECONDS,
       });
     }
-    return outcome === ClaimOutcome.Won ? undefined : this.answerLost(begin);
+    return outcome === ClaimOutcome.Won
+      ? undefined
+      : this.answerLostClaim(begin);
   }
 
-  private answerLost(begin: BeginRequest): BeginAnswer {
+  private answerLostClaim(begin: BeginRequest): BeginAnswer {
     const winner = this.claims.claimOf(begin.organisation, begin.requestId);
     if (winner !== undefined && winner.fingerprint !== begin.fingerprint) {
       return beginAnswer(begin, BeginVerdict.CONFLICT);
@@ -226,15 +237,16 @@
     const router =
       winner === undefined
         ? undefined
-        : this.membership.router(winner.claimant);
+        : this.membership.liveRouter(winner.claimant);
     return router === undefined
       ? beginAnswer(begin, BeginVerdict.OUTCOME_UNKNOWN)
       : beginAnswer(begin, BeginVerdict.JOIN, {router});
   }
 
   /**
-   * Load: a host was killed and its grant is being taken back. Harm: telling a
-   * caller that its budget is spent while most of it is seconds away.
+   * Whether a grant of an unreachable holder that covers the bound will be reclaimed
+   * by its witness. After a host was killed, most of a budget can be in such a grant
+   * for some seconds, and requests should not be refused as if it were spent.
    */
   private isReclaimExpected({
     organisation,
@@ -256,7 +268,7 @@
     begin: BeginRequest,
     request: TrackedRequest,
   ): Promise<BeginAnswer> {
-    const grants = this.grants.of(begin.organisation);
+    const grants = this.grants.forOrganisation(begin.organisation);
     const reservation = create(RequestReservationSchema, {
       reservation: {
         requestId: begin.requestId,
@@ -270,17 +282,20 @@
       idempotent: begin.idempotent,
       beginNumber: begin.beginNumber,
     });
-    let answer = await grants.reserve(reservation, RESERVE_LIMIT_MILLISECONDS);
+    let answer = await grants.reserve(
+      reservation,
+      RESERVE_TIMEOUT_MILLISECONDS,
+    );
     if (
-      answer.outcome === ReserveOutcome.Budget &&
+      answer.outcome === ReserveOutcome.BudgetExhausted &&
       this.isReclaimExpected(begin)
     ) {
-      answer = await grants.reserve(reservation, RECLAIM_LIMIT_MILLISECONDS);
+      answer = await grants.reserve(reservation, RECLAIM_TIMEOUT_MILLISECONDS);
     }
     const {outcome, holding} = answer;
     if (outcome === ReserveOutcome.Reserved && holding !== undefined) {
       request.grantId = holding.grantId;
-      this.registry.enter(request, RequestPhase.Running);
+      this.registry.enterPhase(request, RequestPhase.Running);
       return beginAnswer(begin, BeginVerdict.RESERVED, {
         grantId: holding.grantId,
         holder: this.membership.self.incarnation,
@@ -288,15 +303,15 @@
       });
     }
     if (!begin.idempotent && !begin.mintedHere) {
-      this.registry.noteUnusedClaim(begin.requestId);
+      this.registry.addUnusedClaim(begin.requestId);
     }
-    return outcome === ReserveOutcome.Budget
+    return outcome === ReserveOutcome.BudgetExhausted
       ? beginAnswer(begin, BeginVerdict.BUDGET, {
           availableTokens: grants.spendableTokens,
         })
       : beginAnswer(begin, BeginVerdict.UNAVAILABLE, {
           reason: 'no witness and no log took note of it',
-          retryAfterMilliseconds: UNAVAILABLE_RETRY_MILLISECONDS,
+          retryAfterMilliseconds: UNAVAILABLE_RETRY_DELAY_MILLISECONDS,
         });
   }
 }
--- a/packages/keeper/src/router-sessions.ts
+++ b/packages/keeper/src/router-sessions.ts
@@ -25,7 +25,10 @@
   open: boolean;
 }
 
-/** The streams of routers: their requests in, verdicts and news out. */
+/**
+ * The bidirectional streams of routers: receives their messages, and sends
+ * verdicts and changes of the configuration and the membership.
+ */
 export class RouterSessions {
   private readonly sessions = new Set<RouterSession>();
 
@@ -37,22 +40,22 @@
     private readonly registry: RequestRegistry,
     private readonly eventLog: EventLog,
   ) {
-    configuration.listen(() => {
+    configuration.addListener(() => {
       this.broadcast(this.configurationMessage());
     });
-    membership.listen(() => {
+    membership.addListener(() => {
       this.broadcast(this.membershipMessage());
     });
   }
 
-  /** Whether a router has a session here. */
-  has(router: string): boolean {
+  /** Whether a router has a session with this keeper. */
+  hasSession(router: string): boolean {
     return [...this.sessions].some(
       session => session.router?.incarnation === router,
     );
   }
 
-  /** Serves one router until its stream ends. */
+  /** Serves the stream of one router until it ends. */
   async *serve(
     messages: AsyncIterable<RouterMessage>,
   ): AsyncGenerator<KeeperMessage> {
@@ -62,22 +65,22 @@
       open: true,
     };
     this.sessions.add(session);
-    const reading = this.read(session, messages);
+    const reading = this.readMessages(session, messages);
     try {
       yield* session.queue;
     } finally {
-      this.end(session);
+      this.endSession(session);
       await reading;
     }
   }
 
-  private async read(
+  private async readMessages(
     session: RouterSession,
     messages: AsyncIterable<RouterMessage>,
   ): Promise<void> {
     try {
       for await (const message of messages) {
-        this.take(session, message);
+        this.handleMessage(session, message);
       }
     } catch (error) {
       this.eventLog.info('router session lost', {
@@ -85,14 +88,14 @@
         reason: String(error),
       });
     } finally {
-      this.end(session);
+      this.endSession(session);
     }
   }
 
-  private take(session: RouterSession, {kind}: RouterMessage): void {
+  private handleMessage(session: RouterSession, {kind}: RouterMessage): void {
     switch (kind.case) {
       case 'hello':
-        this.welcome(session, kind.value);
+        this.handleHello(session, kind.value);
         return;
       case 'begin':
         void this.begin(session, kind.value);
@@ -114,21 +117,21 @@
   private abandon(session: RouterSession, message: AbandonRequest): void {
     const router = session.router?.incarnation;
     if (router !== undefined) {
-      this.requests.forgetLostBegins(message, router);
+      this.requests.releaseLostBegins(message, router);
       void this.requests.abandon(message, router);
     }
   }
 
-  private welcome(session: RouterSession, router: ProcessIdentity): void {
+  private handleHello(session: RouterSession, router: ProcessIdentity): void {
     session.router = router;
     session.queue.push(
       create(KeeperMessageSchema, {
         kind: {case: 'welcome', value: this.membership.self},
       }),
     );
-    for (const request of this.registry.ofRouter(router.incarnation)) {
+    for (const request of this.registry.unsettledOfRouter(router.incarnation)) {
       if (request.phase === RequestPhase.Orphaned) {
-        this.registry.enter(request, RequestPhase.Running);
+        this.registry.enterPhase(request, RequestPhase.Running);
       }
     }
     this.membership.setOwnRouters(this.routers);
@@ -149,7 +152,7 @@
     }
     const value = await this.requests.begin(begin, router);
     if (!session.open && value.verdict === BeginVerdict.RESERVED) {
-      // The router never learns of it, so it can't have dispatched.
+      // The router did not get the answer, so it can't have dispatched the request.
       await this.requests.abandon(
         create(AbandonRequestSchema, {
           requestId: begin.requestId,
@@ -177,7 +180,7 @@
     );
   }
 
-  private end(session: RouterSession): void {
+  private endSession(session: RouterSession): void {
     if (!session.open) {
       return;
     }
@@ -186,16 +189,16 @@
     this.sessions.delete(session);
     this.membership.setOwnRouters(this.routers);
     const router = session.router?.incarnation;
-    if (router !== undefined && !this.has(router)) {
-      this.orphan(router);
+    if (router !== undefined && !this.hasSession(router)) {
+      this.orphanRequests(router);
     }
   }
 
-  /** What a lost router ran waits for its caller's retry. */
-  private orphan(router: string): void {
-    for (const request of this.registry.ofRouter(router)) {
+  /** Marks the running requests of a lost router as orphaned, to wait for a retry of the caller. */
+  private orphanRequests(router: string): void {
+    for (const request of this.registry.unsettledOfRouter(router)) {
       if (request.phase === RequestPhase.Running) {
-        this.registry.enter(request, RequestPhase.Orphaned);
+        this.registry.enterPhase(request, RequestPhase.Orphaned);
       }
     }
   }
--- a/packages/keeper/src/settlement-service.ts
+++ b/packages/keeper/src/settlement-service.ts
@@ -8,7 +8,7 @@
 import type {RequestRegistry} from './request-registry.js';
 import {Acknowledgement} from './witness-link.js';
 
-/** Settles requests, and brings their bills to the log. */
+/** Settles requests and submits their bills to the log. */
 export class SettlementService {
   constructor(
     private readonly appender: LedgerAppender,
@@ -18,8 +18,8 @@
   ) {}
 
   /**
-   * Settles a request. Resolves once the bill is known to a second host or
-   * stands on the log, so that the router may forget it.
+   * Settles a request. Resolves once the bill is stored on a second host or on the
+   * log, so that the router may drop it.
    */
   async settle(message: SettleRequest): Promise<void> {
     const bill = clone(BillSchema, message.bill ?? create(BillSchema));
@@ -28,7 +28,7 @@
     await this.settleBill(message.organisation, bill);
   }
 
-  /** Settles with a bill, from whoever knows what was used. */
+  /** Settles a request with a bill from its router or from the orphan settler. */
   async settleBill(organisation: string, bill: Bill): Promise<void> {
     const request = this.registry.get(bill.requestId);
     const holding = this.grants.holding(organisation, bill.grantId);
@@ -38,8 +38,8 @@
         this.registry.settle(request, bill);
       }
       if (holding === undefined) {
-        // A grant of another holder, or one that was reclaimed: the fold knows
-        // what was inherited, and the log is the second place.
+        // The grant belongs to another holder or was reclaimed. The fold contains
+        // the inherited reservations, so the bill only has to be on the log.
         await this.appender.submit(billEntry(organisation, bill));
       }
       return;
@@ -48,7 +48,7 @@
     if (request !== undefined) {
       this.registry.settle(request, charged);
     }
-    this.grants.of(organisation).noteDemand(charged.tokens);
+    this.grants.forOrganisation(organisation).recordDemand(charged.tokens);
     const logged = this.appender.submit(
       billEntry(organisation, charged),
       Urgency.Batched,
--- a/packages/keeper/src/stream-follower.ts
+++ b/packages/keeper/src/stream-follower.ts
@@ -10,20 +10,21 @@
 import type {RelayReader} from './relay-reader.js';
 import type {StreamReplica} from './stream-replica.js';
 
-/** Records a read asks for; larger reads would hold up the process. */
-const PAGE_RECORDS = 500;
+/** Maximum number of records per read; folding larger reads would block the process. */
+const RECORDS_PER_READ = 500;
 /**
- * How long the platform may hold a read open where nothing is new. A read costs
- * about 1.6 ms of processor time and each stream has one open; but a silent
- * outage is noticed only when a read is overdue.
+ * How long the platform may hold a read open if there are no new records. Shorter
+ * reads cost more: each takes about 1.6 ms of processor time, and every stream has
+ * one open. With longer reads, an outage without an error is detected later, as it
+ * shows only when a read is overdue.
  */
-const LONG_POLL_MILLISECONDS = 2_000;
-/** Between two tries while the platform is away. */
-const RETRY_MILLISECONDS = 250;
-/** A relay is left after this long to see whether the platform is back. */
-const RELAY_MILLISECONDS = 2_000;
+const LONG_POLL_TIMEOUT_MILLISECONDS = 2_000;
+/** Delay between two attempts while neither the platform nor a relay is available. */
+const RETRY_DELAY_MILLISECONDS = 250;
+/** How long a relay is used before the next attempt to read the log directly. */
+const RELAY_DURATION_MILLISECONDS = 2_000;
 
-/** Follows one stream: a single task, by the log or by a peer's relay. */
+/** Follows one stream in a single task, by reading the log or a peer's relay. */
 export class StreamFollower {
   constructor(
     private readonly replica: StreamReplica,
@@ -34,13 +35,13 @@
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Runs until the signal is aborted. */
+  /** Follows the stream until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
         await this.readLog(signal);
       } catch (error) {
-        this.health.failed(this.replica.stream);
+        this.health.recordFailure(this.replica.stream);
         this.eventLog.debug('log unreachable', {
           stream: this.replica.stream,
           reason: String(error),
@@ -51,22 +52,23 @@
   }
 
   private async readLog(signal: AbortSignal): Promise<void> {
-    // Until it has caught up, and after each outage, nothing may rest on this
-    // replica: the first read then must not wait for a record to come.
+    // Before the replica has caught up, and after each outage, decisions must not
+    // use it. The first read must then return at once, without waiting for a new
+    // record.
     const current = this.health.isCurrent(this.replica.stream);
     const page = await this.readPage(
       this.replica.nextOffset,
-      current ? LONG_POLL_MILLISECONDS : 0,
+      current ? LONG_POLL_TIMEOUT_MILLISECONDS : 0,
       signal,
     );
     if (page.firstOffset > this.replica.nextOffset) {
       await this.restore(page.firstOffset, signal);
     } else {
       page.records.forEach(record => {
-        this.replica.take(record);
+        this.replica.apply(record);
       });
     }
-    this.health.succeeded(
+    this.health.recordSuccess(
       this.replica.stream,
       this.replica.nextOffset >= page.endOffset,
     );
@@ -80,16 +82,16 @@
     return this.log.read(
       this.replica.stream,
       from,
-      PAGE_RECORDS,
+      RECORDS_PER_READ,
       waitMilliseconds,
       signal,
     );
   }
 
   /**
-   * The records that join on have expired: starts from the first valid
-   * checkpoint that covers them. Without one nothing is folded, since a hole
-   * would give every verdict after it another meaning than elsewhere.
+   * Restores the replica after the next records have expired, from the first valid
+   * checkpoint that covers them. Without such a checkpoint nothing is folded, since
+   * after a gap the verdicts of this replica would differ from those of others.
    */
   private async restore(
     firstOffset: number,
@@ -104,11 +106,11 @@
         stream: this.replica.stream,
         firstOffset: from,
       });
-      await this.clock.sleep(RELAY_MILLISECONDS, signal);
+      await this.clock.sleep(RELAY_DURATION_MILLISECONDS, signal);
       return;
     }
     records.forEach(record => {
-      this.replica.take(record);
+      this.replica.apply(record);
     });
   }
 
@@ -129,13 +131,13 @@
   }
 
   private async readRelay(signal: AbortSignal): Promise<void> {
-    const until = AbortSignal.any([
+    const relaySignal = AbortSignal.any([
       signal,
-      AbortSignal.timeout(RELAY_MILLISECONDS),
+      AbortSignal.timeout(RELAY_DURATION_MILLISECONDS),
     ]);
-    const followed = await this.relay.follow(this.replica, until);
+    const followed = await this.relay.follow(this.replica, relaySignal);
     if (!followed) {
-      await this.clock.sleep(RETRY_MILLISECONDS, signal);
+      await this.clock.sleep(RETRY_DELAY_MILLISECONDS, signal);
     }
   }
 }
--- a/packages/keeper/src/stream-replica.ts
+++ b/packages/keeper/src/stream-replica.ts
@@ -2,57 +2,57 @@
 
 import {RecentRecords} from './recent-records.js';
 
-/** One stream of the log, folded as far as it was read. */
+/** The folded state of one stream of the log. */
 export abstract class StreamReplica {
   readonly recent = new RecentRecords();
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   constructor(readonly stream: string) {}
 
-  /** Everything below this offset is folded. */
+  /** Offset of the next record to fold; all records below it are folded. */
   abstract get nextOffset(): number;
 
   /**
-   * Starts from a checkpoint record.
+   * Replaces the state by that of a checkpoint record.
    *
-   * @param minimumOffset The checkpoint must cover everything below it.
-   * @returns False where the record is no valid checkpoint that reaches there.
+   * @param minimumOffset The checkpoint must cover all records below this offset.
+   * @returns False if the record is not a valid checkpoint that covers these records.
    */
   abstract restore(payload: Uint8Array, minimumOffset: number): boolean;
 
-  /** A checkpoint record of the state as it is. */
+  /** Creates a checkpoint record of the current state. */
   abstract checkpoint(writer: string): Uint8Array;
 
   protected abstract fold(record: LogRecord): void;
 
-  /** Folds the next record; one that was folded before is ignored. */
-  take(record: LogRecord): void {
+  /** Folds the next record; a record that was already folded is ignored. */
+  apply(record: LogRecord): void {
     if (record.offset < this.nextOffset) {
       return;
     }
     this.fold(record);
     this.recent.add(record);
-    this.wakeAll();
+    this.notifyWaiters();
   }
 
-  /** Resolves after the next record, or when the signal is aborted. */
+  /** Resolves after the next record was folded, or when the signal is aborted. */
   nextRecord(signal: AbortSignal): Promise<void> {
     if (signal.aborted) {
       return Promise.resolve();
     }
     return new Promise(resolve => {
       const finish = () => {
-        this.waiting.delete(finish);
+        this.waiters.delete(finish);
         signal.removeEventListener('abort', finish);
         resolve();
       };
-      this.waiting.add(finish);
+      this.waiters.add(finish);
       signal.addEventListener('abort', finish, {once: true});
     });
   }
 
-  protected wakeAll(): void {
-    for (const finish of [...this.waiting]) {
+  protected notifyWaiters(): void {
+    for (const finish of [...this.waiters]) {
       finish();
     }
   }
--- a/packages/keeper/src/test/book-replicator_test.ts
+++ b/packages/keeper/src/test/book-replicator_test.ts
@@ -17,7 +17,7 @@
 import type {WitnessLinks} from '../witness-links.js';
 
 /** Links to witnesses that answer so, in turn; the last answer stays. */
-function linksThatAnswer(
+function linksAnswering(
   answers: readonly Acknowledgement[],
   sent: BookChange[] = [],
 ): WitnessLinks {
@@ -26,11 +26,11 @@
     sent.push(change);
     return Promise.resolve(answers[index]);
   };
-  return {to: () => ({send})} as unknown as WitnessLinks;
+  return {linkTo: () => ({send})} as unknown as WitnessLinks;
 }
 
-const acknowledges = linksThatAnswer([Acknowledgement.Applied]);
-const logIsAway = {isReachable: () => false} as unknown as PlatformHealth;
+const acknowledgingLinks = linksAnswering([Acknowledgement.Applied]);
+const unreachableLog = {isReachable: () => false} as unknown as PlatformHealth;
 
 function holdingOf(witness: string, candidate: string): GrantHolding {
   const opening = {
@@ -48,13 +48,13 @@
 function commit(
   holding: GrantHolding,
   preference: BudgetPreference,
-  links = acknowledges,
+  links = acknowledgingLinks,
 ) {
   const replicator = new BookReplicator(
     links,
     {} as unknown as LedgerAppender,
     {streamOf: () => 'ledger-0'} as unknown as LedgerReplicas,
-    logIsAway,
+    unreachableLog,
     new FakeClock(),
     () => preference,
   );
@@ -81,7 +81,7 @@
         holdingOf('', 'candidate'),
         BudgetPreference.AVOID_UNCLEAR_BILLS,
       ),
-    ).toBe(Acknowledgement.Lost);
+    ).toBe(Acknowledgement.Unconfirmed);
   });
 
   it('goes on without one where few refusals are wanted', async () => {
@@ -102,11 +102,11 @@
   it('sends the whole book to a witness that has none', async () => {
     // Guards against refusals for a grant that its witness has only forgotten.
     const sent: BookChange[] = [];
-    const answers = [Acknowledgement.Unknown, Acknowledgement.Applied];
+    const answers = [Acknowledgement.UnknownGrant, Acknowledgement.Applied];
     const acknowledgement = await commit(
       holdingOf('witness', ''),
       BudgetPreference.AVOID_UNCLEAR_BILLS,
-      linksThatAnswer(answers, sent),
+      linksAnswering(answers, sent),
     );
     expect(acknowledgement).toBe(Acknowledgement.Applied);
     expect(sent.map(({kind}) => kind.case)).toEqual(['reserved', 'opened']);
@@ -117,8 +117,8 @@
     const acknowledgement = await commit(
       holdingOf('witness', ''),
       BudgetPreference.AVOID_UNCLEAR_BILLS,
-      linksThatAnswer([Acknowledgement.Unknown]),
+      linksAnswering([Acknowledgement.UnknownGrant]),
     );
-    expect(acknowledgement).toBe(Acknowledgement.Lost);
+    expect(acknowledgement).toBe(Acknowledgement.Unconfirmed);
   });
 });
--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -7,11 +7,11 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
 import type {Keeper} from '../keeper.js';
-import {Fleet, until} from './fleet.js';
+import {Fleet, waitUntil} from './fleet.js';
 
 const OPENING_TOKENS = 100_000;
 /** Milliseconds; the fleet's keepers settle orphans after 100. */
-const LONGER_THAN_ORPHANS_WAIT = 1_000;
+const AFTER_ORPHAN_WAIT_MILLISECONDS = 1_000;
 
 function appendEntry(
   fleet: Fleet,
@@ -43,10 +43,10 @@
 ): Promise<void> {
   const {incarnation} = candidate.identity;
   const {grants, links, membership} = holder.parts;
-  await until(() => membership.identityOf(incarnation) !== undefined);
-  for (const holding of grants.of('org').holdings.values()) {
+  await waitUntil(() => membership.identityOf(incarnation) !== undefined);
+  for (const holding of grants.forOrganisation('org').holdings.values()) {
     holding.candidate = incarnation;
-    await links.to(incarnation)?.send(holding.book.opened());
+    await links.linkTo(incarnation)?.send(holding.book.opened());
   }
 }
 
@@ -67,18 +67,18 @@
   it('takes back a lost holder and bills its request once', async () => {
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
-    const heir = keepers.find(keeper => keeper !== holder) ?? holder;
-    const atHeir = fleet.router(heir);
+    const successor = keepers.find(keeper => keeper !== holder) ?? holder;
+    const routerAtSuccessor = fleet.router(successor);
     const answer = await fleet.router(holder).begin('r1', 100);
     await holder.kill();
-    await until(
+    await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
-    await atHeir.settle(answer, 30);
+    await routerAtSuccessor.settle(answer, 30);
     const state = fleet.ledger().grant('org', answer.grantId);
     expect(state?.billedTokens).toBe(30);
     expect(state?.tokens).toBe(30);
-    const next = await atHeir.begin('r2', 100);
+    const next = await routerAtSuccessor.begin('r2', 100);
     expect(next.verdict).toBe(BeginVerdict.RESERVED);
   });
 
@@ -92,7 +92,9 @@
     const router = fleet.router(holder);
     const before = await router.begin('r1', 100);
     fleet.store.faults.outage = true;
-    for (const id of holder.parts.grants.of('org').holdings.keys()) {
+    for (const id of holder.parts.grants
+      .forOrganisation('org')
+      .holdings.keys()) {
       witness.parts.witnessBook.fence(id);
     }
     const after = await router.begin('r2', 100);
@@ -117,11 +119,13 @@
       case: 'abandon',
       value: create(AbandonRequestSchema, value),
     });
-    await until(
+    await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
     atWitness.kill();
-    await new Promise(resolve => setTimeout(resolve, LONGER_THAN_ORPHANS_WAIT));
+    await new Promise(resolve =>
+      setTimeout(resolve, AFTER_ORPHAN_WAIT_MILLISECONDS),
+    );
     expect(fleet.ledger().isBilled('org', 'r1')).toBe(false);
     expect(fleet.ledger().grant('org', answer.grantId)?.tokens).toBe(0);
   });
@@ -139,7 +143,7 @@
     first.send({case: 'abandon', value: create(AbandonRequestSchema, value)});
     await first.begin('r2', 100);
     await second.settle(answer, 30);
-    await until(() => fleet.ledger().isBilled('org', 'r1'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
@@ -158,11 +162,11 @@
       value: create(AbandonRequestSchema, value),
     });
     await holder.kill();
-    await until(
+    await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
     await atWitness.settle(answer, 30);
-    await until(() => fleet.ledger().isBilled('org', 'r1'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
@@ -175,13 +179,15 @@
     const lost = fleet.router(holder, 'host/router/lost');
     const first = await lost.begin('r1', 100);
     lost.kill();
-    await until(() => !holder.parts.sessions.has('host/router/lost'));
+    await waitUntil(
+      () => !holder.parts.sessions.hasSession('host/router/lost'),
+    );
     const other = fleet.router(holder, 'host/router/other');
     const retry = await other.begin('r1', 100);
     expect(retry.verdict).toBe(BeginVerdict.RESUME);
     expect(retry.grantId).toBe(first.grantId);
     await other.settle(retry, 25);
-    await until(() => fleet.ledger().isBilled('org', 'r1'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(25);
   });
 
@@ -194,7 +200,7 @@
     const lost = fleet.router(holder, 'host/router/lost');
     await lost.begin('r1', 100);
     lost.kill();
-    await until(() => fleet.ledger().isBilled('org', 'r1'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(100);
     const retry = await fleet.router(holder).begin('r1', 100);
     expect(retry.verdict).toBe(BeginVerdict.ANSWER_GONE);
@@ -211,7 +217,7 @@
     for (const id of ['r1', 'r2', 'r3']) {
       await router.settle(await router.begin(id, 100), 10);
     }
-    await until(() => fleet.ledger().totals('org').billedTokens >= 30);
+    await waitUntil(() => fleet.ledger().totals('org').billedTokens >= 30);
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
     expect(fleet.ledger().totals('org').creditedTokens).toBe(OPENING_TOKENS);
   });
@@ -229,7 +235,7 @@
     const holderB = await fleet.holder('b');
     fleet.store.faults.outage = true;
     const atB = fleet.router(holderB);
-    const held = holderB.parts.grants.of('org').spendableTokens;
+    const held = holderB.parts.grants.forOrganisation('org').spendableTokens;
     const first = await atB.begin('r1', held);
     const second = await atB.begin('r2', 500);
     expect([first.verdict, second.verdict]).toEqual([
@@ -238,7 +244,7 @@
     ]);
     await atB.settle(second, 400);
     fleet.store.faults.outage = false;
-    await until(() => fleet.ledger().isBilled('org', 'r2'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r2'));
     expect((await atA.begin('r3', 100)).verdict).toBe(BeginVerdict.RESERVED);
   });
 
@@ -259,7 +265,7 @@
         kind: {case: 'topUp', value: {tokens: 500}},
       },
     ]);
-    await until(
+    await waitUntil(
       () =>
         far.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
         OPENING_TOKENS + 500,
@@ -274,8 +280,8 @@
     await fleet.holder('a');
     fleet.store.faults.outage = true;
     const fresh = await fleet.add('a');
-    await until(() => fresh.parts.configuration.version === 1);
-    await until(
+    await waitUntil(() => fresh.parts.configuration.version === 1);
+    await waitUntil(
       () =>
         fresh.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
         OPENING_TOKENS,
@@ -285,10 +291,10 @@
   // Two hosts, holder and witness, are killed at once: nobody can tell what was
   // spent, so the grant stays stranded until an operator says that they are gone.
   it('strands a grant that lost holder and witness, until it is released', async () => {
-    const doomed = [await fleet.add('a'), await fleet.add('a')];
+    const killed = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const answer = await fleet.router(holder).begin('r1', 100);
-    await Promise.all(doomed.map(keeper => keeper.kill()));
+    await Promise.all(killed.map(keeper => keeper.kill()));
     await fleet.add('a');
     expect(fleet.ledger().grant('org', answer.grantId)?.closed).toBe(false);
     appendEntry(fleet, [
@@ -312,10 +318,12 @@
     await replicateToCandidate(holder, candidate);
     void router.settle(answer, 30);
     const {witnessBook} = candidate.parts;
-    await until(() => witnessBook.settledBills(answer.grantId).length === 1);
+    await waitUntil(
+      () => witnessBook.settledBills(answer.grantId).length === 1,
+    );
     await holder.kill();
     fleet.store.faults.outage = false;
-    await until(() => fleet.ledger().isBilled('org', 'r1'));
+    await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
@@ -337,7 +345,9 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     await router.settle(await router.begin('r1', 100), 10);
-    const forgotten = [...holder.parts.grants.of('org').holdings.keys()];
+    const forgotten = [
+      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+    ];
     forgotten.forEach(id => {
       witness.parts.witnessBook.forget(id);
     });
@@ -354,7 +364,9 @@
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
-    const fenced = [...holder.parts.grants.of('org').holdings.keys()];
+    const fenced = [
+      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+    ];
     fenced.forEach(id => {
       witness.parts.witnessBook.fence(id);
     });
--- a/packages/keeper/src/test/fleet.ts
+++ b/packages/keeper/src/test/fleet.ts
@@ -129,7 +129,7 @@
         },
       },
     });
-    await until(() =>
+    await waitUntil(() =>
       this.received.some(
         ({kind}) =>
           kind.case === 'settleAnswer' && kind.value.requestId === requestId,
@@ -159,7 +159,7 @@
 }
 
 /** Waits until something holds; the test's own limit ends it otherwise. */
-export async function until(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await pause();
   }
@@ -281,7 +281,9 @@
             ({parts}) =>
               parts.membership.holderOf('org') === keeper.identity.incarnation,
           ) &&
-          [...keeper.parts.grants.of('org').holdings.values()].some(
+          [
+            ...keeper.parts.grants.forOrganisation('org').holdings.values(),
+          ].some(
             holding => holding.witness !== '' && holding.spendableTokens > 0,
           ),
       );
--- a/packages/keeper/src/test/fold-listener_test.ts
+++ b/packages/keeper/src/test/fold-listener_test.ts
@@ -19,7 +19,7 @@
 const OTHER = 'second';
 const GRANT = 'g1';
 
-const holdsNothing = {holding: () => undefined} as unknown as GrantManager;
+const holdsNoGrants = {holding: () => undefined} as unknown as GrantManager;
 
 function openBook(book: WitnessBook): void {
   const value = {
@@ -43,7 +43,7 @@
     case: 'witnessChange',
     value: {grantId: GRANT, from, to},
   });
-  listener.folded({
+  listener.entryFolded({
     stream: 'ledger-0',
     offset: 0,
     writer: 'holder',
@@ -63,7 +63,7 @@
     const book = new WitnessBook();
     const listener = new FoldListener(
       SELF,
-      holdsNothing,
+      holdsNoGrants,
       book,
       new RequestRegistry(new FakeClock()),
       EventLog.create(LogLevel.ERROR, {}),
--- a/packages/keeper/src/test/keeper_test.ts
+++ b/packages/keeper/src/test/keeper_test.ts
@@ -1,7 +1,7 @@
 import {BeginVerdict} from '@wisteriadeal/schema';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {Fleet, until} from './fleet.js';
+import {Fleet, waitUntil} from './fleet.js';
 
 describe('Keeper', () => {
   let fleet: Fleet;
@@ -23,7 +23,7 @@
     expect(answer.verdict).toBe(BeginVerdict.RESERVED);
     expect(answer.witness).not.toBe('');
     await router.settle(answer, 40);
-    await until(() => fleet.ledger().totals('org').billedTokens > 0);
+    await waitUntil(() => fleet.ledger().totals('org').billedTokens > 0);
     expect(fleet.ledger().totals('org').billedTokens).toBe(40);
     expect(
       router.received.some(({kind}) => kind.case === 'configuration'),
--- a/packages/keeper/src/test/membership-table_test.ts
+++ b/packages/keeper/src/test/membership-table_test.ts
@@ -28,22 +28,22 @@
 // Guards against a grant that nobody can take back, as its holder was held up.
 it('names a witness that is silent for a moment, and none after its patience', async () => {
   const clock = new FakeClock();
-  const patience = 3 * HEARTBEAT_LIMIT_MILLISECONDS;
+  const witnessTimeout = 3 * HEARTBEAT_LIMIT_MILLISECONDS;
   const table = new MembershipTable(
     identity('self'),
     HEARTBEAT_LIMIT_MILLISECONDS,
     clock,
-    patience,
+    witnessTimeout,
   );
   expect(table.witnessFor('org')).toBeUndefined();
-  table.heard(gossipOf('k1', []));
+  table.recordHeartbeat(gossipOf('k1', []));
   expect(table.witnessFor('org')).toBe('k1');
-  await clock.advance(patience);
+  await clock.advance(witnessTimeout);
   expect(table.reachablePeers).toEqual([]);
   expect(table.witnessFor('org')).toBe('k1');
-  table.heard(gossipOf('k2', []));
+  table.recordHeartbeat(gossipOf('k2', []));
   expect(table.witnessFor('org')).toBe('k2');
-  await clock.advance(patience + 1);
+  await clock.advance(witnessTimeout + 1);
   expect(table.witnessFor('org')).toBeUndefined();
 });
 
@@ -57,13 +57,13 @@
     HEARTBEAT_LIMIT_MILLISECONDS,
     new FakeClock(),
   );
-  table.heard(gossipOf('k1', ['r1', 'r2']));
-  table.heard(gossipOf('k2', ['r2', 'r1']));
+  table.recordHeartbeat(gossipOf('k1', ['r1', 'r2']));
+  table.recordHeartbeat(gossipOf('k2', ['r2', 'r1']));
   let changes = 0;
-  table.listen(() => {
+  table.addListener(() => {
     changes++;
   });
-  table.heard(gossipOf('k1', ['r2', 'r1']));
-  table.heard(gossipOf('k2', ['r1', 'r2']));
+  table.recordHeartbeat(gossipOf('k1', ['r2', 'r1']));
+  table.recordHeartbeat(gossipOf('k2', ['r1', 'r2']));
   expect(changes).toBe(0);
 });
--- a/packages/keeper/src/test/organisation-grants_test.ts
+++ b/packages/keeper/src/test/organisation-grants_test.ts
@@ -15,7 +15,7 @@
 ) {
   const grants = new OrganisationGrants(
     'org',
-    {commit: () => Promise.resolve(Acknowledgement.Lost)},
+    {commit: () => Promise.resolve(Acknowledgement.Unconfirmed)},
     clock,
     () => undefined,
     () => remaining,
@@ -33,7 +33,7 @@
   // so a holder that waits never answers.
   it('refuses at once what the whole rest of the budget does not cover', async () => {
     const answer = await reserveBound(new FakeClock(), 100, 99);
-    expect(answer.outcome).toBe(ReserveOutcome.Budget);
+    expect(answer.outcome).toBe(ReserveOutcome.BudgetExhausted);
   });
 
   // The rest stands in another data centre's grant, or the opening budget is
@@ -46,7 +46,7 @@
       const answer = reserveBound(clock, 100, remaining);
       expect(clock.sleeping).toBe(1);
       await clock.advance(LIMIT_MILLISECONDS);
-      expect((await answer).outcome).toBe(ReserveOutcome.Budget);
+      expect((await answer).outcome).toBe(ReserveOutcome.BudgetExhausted);
     },
   );
 });
--- a/packages/keeper/src/test/reclaimer_test.ts
+++ b/packages/keeper/src/test/reclaimer_test.ts
@@ -3,18 +3,18 @@
 import {LogLevel, type LedgerEntry} from '@wisteriadeal/schema';
 import {describe, expect, it} from 'vitest';
 
-import type {LedgerAppender, OwnVerdict} from '../ledger-appender.js';
+import type {LedgerAppender, SubmittedVerdict} from '../ledger-appender.js';
 import type {LedgerReplicas} from '../ledger-replicas.js';
 import type {MembershipTable} from '../membership-table.js';
 import {Reclaimer} from '../reclaimer.js';
 
 const SELF = 'witness';
 const GRANT = 'g1';
-const PATIENCE_MILLISECONDS = 1_000;
+const HOLDER_TIMEOUT_MILLISECONDS = 1_000;
 
 const holderIsSilent = {
   self: {incarnation: SELF},
-  silenceMilliseconds: () => PATIENCE_MILLISECONDS + 1,
+  millisecondsSinceHeartbeat: () => HOLDER_TIMEOUT_MILLISECONDS + 1,
 } as unknown as MembershipTable;
 
 /** A log whose one grant names this witness, as the keeper has read it. */
@@ -35,7 +35,7 @@
 class RefusingAppender {
   readonly submitted: LedgerEntry[] = [];
 
-  submit(entry: LedgerEntry): Promise<OwnVerdict> {
+  submit(entry: LedgerEntry): Promise<SubmittedVerdict> {
     this.submitted.push(entry);
     const verdict = {
       entryId: entry.entryId,
@@ -43,7 +43,7 @@
       kind: VerdictKind.Refused,
       reason: RefusalReason.NotWitness,
     };
-    return Promise.resolve({verdict, uncertain: false});
+    return Promise.resolve({verdict, mayDuplicateItself: false});
   }
 }
 
@@ -57,7 +57,7 @@
       namesSelf,
       book,
       appender as unknown as LedgerAppender,
-      PATIENCE_MILLISECONDS,
+      HOLDER_TIMEOUT_MILLISECONDS,
       () => 0,
       EventLog.create(LogLevel.ERROR, {}),
     );
--- a/packages/keeper/src/transfer-service.ts
+++ b/packages/keeper/src/transfer-service.ts
@@ -21,27 +21,34 @@
 import {Acknowledgement} from './witness-link.js';
 import type {PeerClients} from './peer-clients.js';
 
-/** A giver keeps what it needs itself for so long. */
-const KEEP_SECONDS = 10;
-/** A taker asks for so many bounds first, to come back less often. */
-const ASK_BOUNDS = 8;
-/** Between two rounds of asking for one organisation. */
-const ASK_PAUSE_MILLISECONDS = 250;
-/** A giver that takes longer is left; what it debited is then stranded. */
-const ASK_LIMIT_MILLISECONDS = 1_500;
-/** Transfers remembered for a repeated question. */
-const REMEMBERED_TRANSFERS = 10_000;
+/** A holder that transfers tokens keeps enough for its own demand during this time. */
+const RETAINED_DEMAND_SECONDS = 10;
+/**
+ * Multiple of the waiting bound that is requested first, to need fewer transfers.
+ * If no peer can transfer this much, the bound itself is requested.
+ */
+const PREFERRED_BOUNDS = 8;
+/** Minimum interval between two rounds of transfer requests for one organisation. */
+const REQUEST_INTERVAL_MILLISECONDS = 250;
+/**
+ * Timeout of one transfer request. Tokens that a peer has debited are stranded if
+ * neither its answer nor its log entry arrives.
+ */
+const REQUEST_TIMEOUT_MILLISECONDS = 1_500;
+/** Maximum number of completed transfers kept to answer repeated requests. */
+const MAXIMUM_COMPLETED_TRANSFERS = 10_000;
 
 /**
- * Moves grants between holders that see each other, without the platform.
+ * Transfers tokens between holders that can reach each other, without the platform.
  *
- * The giver debits first and answers only after its witness took note; a lost
- * answer is asked for again under the same identifier. A message that is lost
- * for good strands tokens; none can create any.
+ * The sending holder debits its grant first, and answers only after its witness has
+ * acknowledged the change. If the answer is lost, the request is repeated with the
+ * same identifier. A message that is lost permanently can strand tokens, but no
+ * lost or repeated message can create tokens.
  */
 export class TransferService {
-  private readonly given = new Map<string, Transfer>();
-  private readonly nextAsk = new Map<string, number>();
+  private readonly completedTransfers = new Map<string, Transfer>();
+  private readonly nextRequestAt = new Map<string, number>();
 
   constructor(
     private readonly membership: MembershipTable,
@@ -55,9 +62,11 @@
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Answers a peer that asks. */
-  async give(request: TransferGrantRequest): Promise<TransferGrantAnswer> {
-    const known = this.given.get(request.transferId);
+  /** Handles a peer's transfer request; the answer has no transfer if it can't be met. */
+  async handleRequest(
+    request: TransferGrantRequest,
+  ): Promise<TransferGrantAnswer> {
+    const known = this.completedTransfers.get(request.transferId);
     const transfer = known ?? (await this.debit(request));
     return create(
       TransferGrantAnswerSchema,
@@ -65,19 +74,26 @@
     );
   }
 
-  /** Asks peers for an organisation whose requests wait, one at a time. */
-  async ask(grants: OrganisationGrants, signal: AbortSignal): Promise<void> {
+  /**
+   * Requests tokens from peers, one after the other, for an organisation with
+   * waiting requests. Does nothing if the last round is still running or was less
+   * than the minimum interval ago.
+   */
+  async requestTokens(
+    grants: OrganisationGrants,
+    signal: AbortSignal,
+  ): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
-    if (now < (this.nextAsk.get(grants.organisation) ?? 0)) {
+    if (now < (this.nextRequestAt.get(grants.organisation) ?? 0)) {
       return;
     }
-    this.nextAsk.set(grants.organisation, Infinity);
+    this.nextRequestAt.set(grants.organisation, Infinity);
     try {
-      await this.askPeers(grants, signal);
+      await this.requestFromPeers(grants, signal);
     } finally {
-      this.nextAsk.set(
+      this.nextRequestAt.set(
         grants.organisation,
-        this.clock.monotonicMilliseconds() + ASK_PAUSE_MILLISECONDS,
+        this.clock.monotonicMilliseconds() + REQUEST_INTERVAL_MILLISECONDS,
       );
     }
   }
@@ -86,15 +102,17 @@
     request: TransferGrantRequest,
   ): Promise<Transfer | undefined> {
     const {organisation, transferId, tokens, toHolder, toWitness} = request;
-    const grants = this.grants.of(organisation);
+    const grants = this.grants.forOrganisation(organisation);
     const holding = [...grants.holdings.values()]
       .filter(candidate => candidate.spendableTokens >= tokens)
       .sort((one, other) => other.spendableTokens - one.spendableTokens)[0];
-    const keep = Math.ceil(grants.demandTokensPerSecond * KEEP_SECONDS);
+    const retainedTokens = Math.ceil(
+      grants.demandTokensPerSecond * RETAINED_DEMAND_SECONDS,
+    );
     if (
       holding === undefined ||
       toHolder === undefined ||
-      grants.spendableTokens - tokens < keep
+      grants.spendableTokens - tokens < retainedTokens
     ) {
       return undefined;
     }
@@ -111,33 +129,33 @@
       return undefined;
     }
     const acknowledged = await this.replicator.commit(holding, change);
-    // In either case the tokens are debited and the log is told. Without the
-    // acknowledgement the taker is not: it gets them when it reads the record,
-    // if that still counts.
+    // The tokens are debited and the entry is submitted in either case. Without
+    // the acknowledgement the receiving holder gets no answer: it accepts the
+    // tokens when it reads the entry, if the fold accepts it.
     void this.appender.submit(transferEntry(organisation, transfer));
     if (acknowledged !== Acknowledgement.Applied) {
       return undefined;
     }
-    this.remember(transfer);
+    this.recordTransfer(transfer);
     return transfer;
   }
 
-  private remember(transfer: Transfer): void {
-    this.given.set(transfer.transferId, transfer);
-    for (const transferId of this.given.keys()) {
-      if (this.given.size <= REMEMBERED_TRANSFERS) {
+  private recordTransfer(transfer: Transfer): void {
+    this.completedTransfers.set(transfer.transferId, transfer);
+    for (const transferId of this.completedTransfers.keys()) {
+      if (this.completedTransfers.size <= MAXIMUM_COMPLETED_TRANSFERS) {
         return;
       }
-      this.given.delete(transferId);
+      this.completedTransfers.delete(transferId);
     }
   }
 
-  private async askPeers(
+  private async requestFromPeers(
     grants: OrganisationGrants,
     signal: AbortSignal,
   ): Promise<void> {
     const bound = grants.waitingBoundTokens;
-    for (const tokens of [bound * ASK_BOUNDS, bound]) {
+    for (const tokens of [bound * PREFERRED_BOUNDS, bound]) {
       for (const peer of this.candidates(grants.organisation)) {
         if (
           grants.waitingBoundTokens === 0 ||
@@ -145,30 +163,34 @@
         ) {
           return;
         }
-        await this.askPeer(grants.organisation, peer, tokens, signal);
+        await this.requestFromPeer(grants.organisation, peer, tokens, signal);
       }
     }
   }
 
-  /** Reachable peers, those that the log knows to hold most first. */
+  /** Returns the reachable peers with tokens, ordered by their unbilled tokens on the log. */
   private candidates(organisation: string): readonly ProcessIdentity[] {
-    const held = new Map<string, number>();
+    const tokensByHolder = new Map<string, number>();
     const ledger = this.replicas.ledgerOf(organisation);
     for (const grant of ledger.grants(organisation)) {
       if (!grant.closed) {
         const tokens = grant.tokens - grant.billedTokens;
-        held.set(grant.holder, (held.get(grant.holder) ?? 0) + tokens);
+        tokensByHolder.set(
+          grant.holder,
+          (tokensByHolder.get(grant.holder) ?? 0) + tokens,
+        );
       }
     }
     return this.membership.reachablePeers
-      .filter(peer => (held.get(peer.incarnation) ?? 0) > 0)
+      .filter(peer => (tokensByHolder.get(peer.incarnation) ?? 0) > 0)
       .sort(
         (one, other) =>
-          (held.get(other.incarnation) ?? 0) - (held.get(one.incarnation) ?? 0),
+          (tokensByHolder.get(other.incarnation) ?? 0) -
+          (tokensByHolder.get(one.incarnation) ?? 0),
       );
   }
 
-  private async askPeer(
+  private async requestFromPeer(
     organisation: string,
     peer: ProcessIdentity,
     tokens: number,
@@ -182,18 +204,18 @@
       toWitness: this.membership.witnessFor(organisation) ?? '',
     });
     try {
-      const {transfer} = await this.askTwice(peer, request, signal);
+      const {transfer} = await this.sendWithRetry(peer, request, signal);
       if (transfer !== undefined) {
         void this.appender.submit(transferEntry(organisation, transfer));
-        this.grants.accept(organisation, transfer);
-        this.eventLog.info('grant transferred here', {
+        this.grants.acceptTransfer(organisation, transfer);
+        this.eventLog.info('grant transfer received', {
           organisation,
           peer: peer.incarnation,
           tokens: transfer.tokens,
         });
       }
     } catch (error) {
-      this.eventLog.warn('transfer not answered', {
+      this.eventLog.warn('transfer request failed', {
         organisation,
         peer: peer.incarnation,
         reason: String(error),
@@ -201,13 +223,13 @@
     }
   }
 
-  private async askTwice(
+  private async sendWithRetry(
     peer: ProcessIdentity,
     request: TransferGrantRequest,
     signal: AbortSignal,
   ): Promise<TransferGrantAnswer> {
     const client = this.peers.client(peer.controlAddress);
-    const options = {signal, timeoutMs: ASK_LIMIT_MILLISECONDS};
+    const options = {signal, timeoutMs: REQUEST_TIMEOUT_MILLISECONDS};
     try {
       return await client.transferGrant(request, options);
     } catch {
--- a/packages/keeper/src/witness-link.ts
+++ b/packages/keeper/src/witness-link.ts
@@ -11,39 +11,39 @@
 
 import type {KeeperClient} from './peer-clients.js';
 
-/** What became of a change that was sent to a witness. */
+/** The result of sending a change to a witness. */
 export enum Acknowledgement {
-  /** The witness has it. */
+  /** The witness has stored the change. */
   Applied = 'applied',
-  /** The witness has fenced the grant: nothing may be dispatched under it. */
+  /** The witness has fenced the grant; requests must not be dispatched under it. */
   Fenced = 'fenced',
-  /** The witness has no book of the grant and needs the whole of it first. */
-  Unknown = 'unknown',
-  /** Nobody knows; nothing may be dispatched on its strength. */
-  Lost = 'lost',
+  /** The witness has no book of the grant, and needs the full book first. */
+  UnknownGrant = 'unknown-grant',
+  /** There was no acknowledgement; the change must not be relied on for a dispatch. */
+  Unconfirmed = 'unconfirmed',
 }
 
-/** Between two tries to reach a witness. */
-const RECONNECT_MILLISECONDS = 200;
+/** Delay between two attempts to connect to a witness. */
+const RECONNECT_DELAY_MILLISECONDS = 200;
 
-interface WaitingChange {
+interface UnacknowledgedChange {
   readonly sequence: number;
   readonly grantId: string;
   readonly resolve: (acknowledgement: Acknowledgement) => void;
 }
 
-/** The books that a witness must know, whole. */
+/** Returns the full books of all grants that a witness must have. */
 export type SnapshotSource = (witness: string) => readonly BookChange[];
 
 /**
  * The stream from this keeper, as a holder, to one witness. A new stream starts
- * with the whole of each book, so it does not matter which of the last changes
- * of the old stream had arrived.
+ * with the full book of each grant, so it does not matter which of the last changes
+ * on the old stream have arrived.
  */
 export class WitnessLink {
   private sequence = 0;
   private queue: MessageQueue<HolderMessage> | undefined;
-  private waiting: WaitingChange[] = [];
+  private unacknowledged: UnacknowledgedChange[] = [];
   private batch: BookChange[] = [];
   private connected = false;
   private readonly stopping = new AbortController();
@@ -53,28 +53,28 @@
     private readonly self: ProcessIdentity,
     readonly witness: string,
     private readonly client: KeeperClient,
-    private readonly snapshot: SnapshotSource,
-    private readonly acknowledgeLimitMilliseconds: number,
+    private readonly snapshotSource: SnapshotSource,
+    private readonly acknowledgementTimeoutMilliseconds: number,
     private readonly clock: Clock,
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Whether the witness has the books and the stream is open. */
+  /** Whether the stream is open and the full books were sent. */
   get isConnected(): boolean {
     return this.connected;
   }
 
   /**
-   * Sends one change; changes of one turn share a message. Without an open
-   * stream it waits for one, up to the limit.
+   * Sends one change; changes of the same turn of the event loop share a message.
+   * If the stream is not open, waits for it up to the timeout.
    */
   async send(change: BookChange): Promise<Acknowledgement> {
-    if (!this.connected && !(await this.untilConnected())) {
-      return Acknowledgement.Lost;
+    if (!this.connected && !(await this.waitUntilConnected())) {
+      return Acknowledgement.Unconfirmed;
     }
     const {promise, resolve} = withResolver();
     this.batch.push(change);
-    this.waiting.push({
+    this.unacknowledged.push({
       sequence: this.sequence + 1,
       grantId: change.grantId,
       resolve,
@@ -84,27 +84,27 @@
         this.flush();
       });
     }
-    return this.withLimit(promise);
+    return this.withTimeout(promise);
   }
 
-  /** Keeps the stream open until `close`. */
+  /** Keeps the stream open, and reconnects after failures, until `close` is called. */
   async run(): Promise<void> {
     const {signal} = this.stopping;
     while (!signal.aborted) {
       try {
         await this.connect(signal);
       } catch (error) {
-        this.eventLog.debug('witness lost', {
+        this.eventLog.debug('witness stream failed', {
           peer: this.witness,
           reason: String(error),
         });
       }
       this.disconnect();
-      await this.clock.sleep(RECONNECT_MILLISECONDS, signal);
+      await this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, signal);
     }
   }
 
-  /** Ends the stream; what waits is lost. */
+  /** Ends the stream; changes without an acknowledgement resolve as `Unconfirmed`. */
   close(): void {
     this.stopping.abort();
     this.disconnect();
@@ -118,19 +118,19 @@
     );
     const answers = this.client.replicate(queue, {signal});
     for await (const answer of answers) {
-      if (!this.accept(answer)) {
+      if (!this.handleMessage(answer)) {
         return;
       }
     }
   }
 
-  /** @returns False where the peer is another incarnation than was named. */
-  private accept(message: WitnessMessage): boolean {
+  /** @returns False if the peer is a different incarnation than the expected witness. */
+  private handleMessage(message: WitnessMessage): boolean {
     if (message.kind.case === 'welcome') {
       if (message.kind.value.incarnation !== this.witness) {
         return false;
       }
-      this.batch = [...this.snapshot(this.witness)];
+      this.batch = [...this.snapshotSource(this.witness)];
       this.connected = true;
       this.flush();
       this.connectionWaiters.forEach(resolve => {
@@ -142,12 +142,16 @@
       const {sequence, fencedGrants, unknownGrants} = message.kind.value;
       const fenced = new Set(fencedGrants);
       const unknown = new Set(unknownGrants);
-      const done = this.waiting.filter(item => item.sequence <= sequence);
-      this.waiting = this.waiting.filter(item => item.sequence > sequence);
+      const done = this.unacknowledged.filter(
+        item => item.sequence <= sequence,
+      );
+      this.unacknowledged = this.unacknowledged.filter(
+        item => item.sequence > sequence,
+      );
       for (const item of done) {
         item.resolve(
           unknown.has(item.grantId)
-            ? Acknowledgement.Unknown
+            ? Acknowledgement.UnknownGrant
             : fenced.has(item.grantId)
               ? Acknowledgement.Fenced
               : Acknowledgement.Applied,
@@ -178,37 +182,38 @@
     this.queue?.close();
     this.queue = undefined;
     this.batch = [];
-    const lost = this.waiting;
-    this.waiting = [];
+    const lost = this.unacknowledged;
+    this.unacknowledged = [];
     lost.forEach(item => {
-      item.resolve(Acknowledgement.Lost);
+      item.resolve(Acknowledgement.Unconfirmed);
     });
   }
 
-  private async untilConnected(): Promise<boolean> {
+  private async waitUntilConnected(): Promise<boolean> {
     const {promise, resolve} = withResolver();
     const finish = () => {
       resolve(Acknowledgement.Applied);
     };
     this.connectionWaiters.add(finish);
-    await this.withLimit(promise);
+    await this.withTimeout(promise);
     this.connectionWaiters.delete(finish);
     return this.connected;
   }
 
   /**
-   * A peer that is paused, or cut off without a reset, never answers. After the
-   * limit the change counts as lost: the request is refused, not dispatched.
+   * Limits the wait for an acknowledgement. A peer that is paused, or partitioned
+   * without a connection reset, never answers. After the timeout the change counts
+   * as unconfirmed, and the request is refused instead of dispatched.
    */
-  private async withLimit(
+  private async withTimeout(
     promise: Promise<Acknowledgement>,
   ): Promise<Acknowledgement> {
-    const ended = new AbortController();
-    const limit = this.clock
-      .sleep(this.acknowledgeLimitMilliseconds, ended.signal)
-      .then(() => Acknowledgement.Lost);
-    const first = await Promise.race([promise, limit]);
-    ended.abort();
+    const timeoutController = new AbortController();
+    const timeout = this.clock
+      .sleep(this.acknowledgementTimeoutMilliseconds, timeoutController.signal)
+      .then(() => Acknowledgement.Unconfirmed);
+    const first = await Promise.race([promise, timeout]);
+    timeoutController.abort();
     return first;
   }
 }
