--- a/packages/keeper/src/witness-links.ts
+++ b/packages/keeper/src/witness-links.ts
@@ -5,27 +5,27 @@
 import type {PeerClients} from './peer-clients.js';
 import {WitnessLink, type SnapshotSource} from './witness-link.js';
 
-/** One link for each witness of this keeper's grants. */
+/** The links to the witnesses of this keeper's grants, one per witness. */
 export class WitnessLinks {
   private readonly links = new Map<string, WitnessLink>();
   private readonly tasks = new Set<Promise<void>>();
-  private source: SnapshotSource = () => [];
+  private snapshotSource: SnapshotSource = () => [];
 
   constructor(
     private readonly membership: MembershipTable,
     private readonly peers: PeerClients,
-    private readonly acknowledgeLimitMilliseconds: number,
+    private readonly acknowledgementTimeoutMilliseconds: number,
     private readonly clock: Clock,
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Sets where the books of a new stream come from. */
+  /** Sets the source of the full books that are sent on a new stream. */
   setSnapshotSource(source: SnapshotSource): void {
-    this.source = source;
+    this.snapshotSource = source;
   }
 
-  /** The link to a witness; undefined where it is not known how to reach it. */
-  to(witness: string): WitnessLink | undefined {
+  /** Returns the link to a witness, creating it on first use; undefined if the witness is unknown. */
+  linkTo(witness: string): WitnessLink | undefined {
     const known = this.links.get(witness);
     if (known !== undefined) {
       return known;
@@ -38,8 +38,8 @@
       this.membership.self,
       witness,
       this.peers.client(peer.controlAddress),
-      incarnation => this.source(incarnation),
-      this.acknowledgeLimitMilliseconds,
+      incarnation => this.snapshotSource(incarnation),
+      this.acknowledgementTimeoutMilliseconds,
       this.clock,
       this.eventLog,
     );
@@ -49,7 +49,7 @@
     return link;
   }
 
-  /** Closes links to witnesses that are not in use. */
+  /** Closes all links except those to the given witnesses. */
   retain(witnesses: ReadonlySet<string>): void {
     for (const [witness, link] of this.links) {
       if (!witnesses.has(witness)) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Closes every link. */
+  /** Closes all links and waits until their tasks have ended. */
   async close(): Promise<void> {
     this.retain(new Set());
     await Promise.all(this.tasks);
--- a/packages/keeper/src/witness-service.ts
+++ b/packages/keeper/src/witness-service.ts
@@ -8,14 +8,14 @@
   type WitnessMessage,
 } from '@wisteriadeal/schema';
 
-/** Acknowledges the changes of other keepers' books. */
+/** Applies changes of other keepers' books to the witness's book, and acknowledges them. */
 export class WitnessService {
   constructor(
     private readonly self: ProcessIdentity,
     private readonly book: WitnessBook,
   ) {}
 
-  /** Serves one holder until its stream ends. */
+  /** Serves the stream of one holder until it ends. */
   async *replicate(
     messages: AsyncIterable<HolderMessage>,
   ): AsyncGenerator<WitnessMessage> {
@@ -36,8 +36,8 @@
     for (const change of batch.changes) {
       const result = this.book.apply(change);
       if (result !== BookChangeResult.Applied) {
-        // Also the unknown ones: an older holder reads no other list, and takes a
-        // grant that is in none for acknowledged.
+        // Unknown grants are listed here as well: holders of an older version read
+        // only this list, and treat a grant that is not on it as acknowledged.
         fencedGrants.add(change.grantId);
       }
       if (result === BookChangeResult.Unknown) {
