--- a/packages/keeper/src/test/book-replicator_test.ts
+++ b/packages/keeper/src/test/book-replicator_test.ts
@@ -16,7 +16,10 @@
 import {Acknowledgement} from '../witness-link.js';
 import type {WitnessLinks} from '../witness-links.js';
 
-/** Links to witnesses that answer so, in turn; the last answer stays. */
+/**
+ * Links whose witnesses give these answers in turn, and then repeat the last
+ * one.
+ */
 function linksAnswering(
   answers: readonly Acknowledgement[],
   sent: BookChange[] = [],
@@ -71,11 +74,12 @@
 }
 
 describe('BookReplicator', () => {
-  // The operator sees answered requests without a bill. A host was alone when it
-  // took its grant; a second one is to be its witness, and the data centre is cut
-  // off before the log says so. The holder dies: the log names no witness, so that
-  // nobody may reclaim the grant and bill what the second one knows.
-  it('does not take the acknowledgement of a witness that the log does not name', async () => {
+  // Guards against answered requests without a bill. A host got its grant while
+  // it had no peer. A second host becomes its candidate, and the data centre
+  // loses the log before the change of witness is appended. If the holder dies,
+  // the log names no witness, so no keeper can reclaim the grant and submit the
+  // candidate's bills.
+  it('does not rely on the acknowledgement of a witness that the log has not named', async () => {
     expect(
       await commit(
         holdingOf('', 'candidate'),
@@ -84,13 +88,13 @@
     ).toBe(Acknowledgement.Unconfirmed);
   });
 
-  it('goes on without one where few refusals are wanted', async () => {
+  it('applies a change without a witness or the log under AVOID_REFUSALS', async () => {
     expect(
       await commit(holdingOf('', 'candidate'), BudgetPreference.AVOID_REFUSALS),
     ).toBe(Acknowledgement.Applied);
   });
 
-  it('takes the acknowledgement of the witness in force', async () => {
+  it('relies on the acknowledgement of the witness in force', async () => {
     expect(
       await commit(
         holdingOf('witness', 'candidate'),
@@ -99,8 +103,9 @@
     ).toBe(Acknowledgement.Applied);
   });
 
-  it('sends the whole book to a witness that has none', async () => {
-    // Guards against refusals for a grant that its witness has only forgotten.
+  it('sends the full book to a witness that has no book of the grant', async () => {
+    // Guards against refusals when a witness has dropped the book of an open
+    // grant.
     const sent: BookChange[] = [];
     const answers = [Acknowledgement.UnknownGrant, Acknowledgement.Applied];
     const acknowledgement = await commit(
@@ -112,8 +117,9 @@
     expect(sent.map(({kind}) => kind.case)).toEqual(['reserved', 'opened']);
   });
 
-  it('does not take a witness without a book for one that has fenced the grant', async () => {
-    // Guards against grants that their holder drops while the log has them open.
+  it('does not treat a grant as fenced if its witness has no book of it', async () => {
+    // Guards against a holder that drops a grant which is still open on the
+    // log.
     const acknowledgement = await commit(
       holdingOf('witness', ''),
       BudgetPreference.AVOID_UNCLEAR_BILLS,
--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -10,7 +10,7 @@
 import {Fleet, waitUntil} from './fleet.js';
 
 const OPENING_TOKENS = 100_000;
-/** Milliseconds; the fleet's keepers settle orphans after 100. */
+/** The keepers of the test fleet settle orphaned requests after 100 ms. */
 const AFTER_ORPHAN_WAIT_MILLISECONDS = 1_000;
 
 function appendEntry(
@@ -28,7 +28,7 @@
   );
 }
 
-/** Grants that the log has open for a keeper. */
+/** Returns the grants of a keeper that are open on the log. */
 function openGrantsOf(fleet: Fleet, {identity}: Keeper) {
   return fleet
     .ledger()
@@ -36,7 +36,9 @@
     .filter(grant => !grant.closed && grant.holder === identity.incarnation);
 }
 
-/** Replicates the holder's books to a witness that the log has not named yet. */
+/**
+ * Replicates the holder's books to a witness that the log has not named yet.
+ */
 async function replicateToCandidate(
   holder: Keeper,
   candidate: Keeper,
@@ -61,10 +63,10 @@
     await fleet.close();
   });
 
-  // The holder's process is lost while a request runs. Its witness fences the
-  // grant and takes it back; the router settles with the new holder. The caller
-  // is charged once, and what was not spent can be spent again.
-  it('takes back a lost holder and bills its request once', async () => {
+  // The holder's process is lost while a request runs. Its witness fences and
+  // reclaims the grant, and the router settles with the new holder. The caller
+  // is charged once, and the unspent tokens can be reserved again.
+  it('reclaims the grant of a lost holder and bills its request once', async () => {
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const successor = keepers.find(keeper => keeper !== holder) ?? holder;
@@ -82,10 +84,11 @@
     expect(next.verdict).toBe(BeginVerdict.RESERVED);
   });
 
-  // A holder is paused past every lease, fenced, and wakes in the middle of a
-  // request. Its router asks for more. Nothing may be dispatched under the old
-  // grant, whatever endpoints check: no reservation of it is acknowledged.
-  it('gives a woken holder nothing from a fenced grant', async () => {
+  // A holder is paused beyond every timeout, its grant is fenced, and it
+  // resumes during a request. Its router begins another request. No reservation
+  // under the old grant may be acknowledged, so that nothing is dispatched
+  // under it even if endpoints do not check fencing.
+  it('reserves nothing from a fenced grant after its holder was paused', async () => {
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
@@ -105,7 +108,8 @@
   });
 
   it('bills nothing for a begin whose answer was lost with its holder', async () => {
-    // Guards against a bill for a request whose caller was told that nothing ran.
+    // Guards against a bill for a request that was reported to its caller as
+    // not run.
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
@@ -130,8 +134,9 @@
     expect(fleet.ledger().grant('org', answer.grantId)?.tokens).toBe(0);
   });
 
-  it('bills a request that another router abandons late', async () => {
-    // Guards against an answer without a bill after a retry at another router.
+  it('bills a request after a late abandon message of another router', async () => {
+    // Guards against an unbilled answer: the caller retried at another router
+    // before the abandon message of the first router arrived.
     await fleet.add('a');
     await fleet.add('a');
     const holder = await fleet.holder('a');
@@ -147,8 +152,9 @@
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
-  it('still bills another begin of the request after its holder is lost', async () => {
-    // Guards against a late abandon that takes the reservation of what runs.
+  it('bills a later begin of an abandoned request after its holder is lost', async () => {
+    // Guards against a late abandon message that releases the reservation of
+    // the running request at the witness.
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
@@ -170,9 +176,10 @@
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
-  // A router is killed with a stream open. The caller's retry arrives at another
-  // router and continues the same attempt under the same reservation: one bill.
-  it('lets a retry resume what a killed router ran', async () => {
+  // A router is killed with an open stream. The caller's retry at another
+  // router resumes the same attempt under the same reservation, so there is one
+  // bill.
+  it('resumes the request of a killed router on a retry', async () => {
     await fleet.add('a');
     await fleet.add('a');
     const holder = await fleet.holder('a');
@@ -191,9 +198,10 @@
     expect(fleet.ledger().totals('org').billedTokens).toBe(25);
   });
 
-  // A router is killed, the caller never returns and the engine can't be asked.
-  // The bound is charged, once, and the bill says that nobody confirmed it.
-  it('charges the bound of an orphan that nobody can explain', async () => {
+  // A router is killed, the caller does not retry and the engine is
+  // unreachable. The bound is charged once, with a bill that is marked as
+  // unconfirmed.
+  it('charges the bound of an orphaned request with unknown usage', async () => {
     await fleet.add('a');
     await fleet.add('a');
     const holder = await fleet.holder('a');
@@ -206,8 +214,8 @@
     expect(retry.verdict).toBe(BeginVerdict.ANSWER_GONE);
   });
 
-  // The platform stores records and its answers are lost. Callers notice
-  // nothing; each request has one bill, each grant was given once.
+  // The platform stores records but its answers are lost. Callers are not
+  // affected: each request has one bill, and each grant was granted once.
   it('bills once when answers of the log are lost', async () => {
     await fleet.add('a');
     await fleet.add('a');
@@ -222,10 +230,12 @@
     expect(fleet.ledger().totals('org').creditedTokens).toBe(OPENING_TOKENS);
   });
 
-  // The platform is away. One data centre has used up its grant, the other one
-  // has plenty and sees it: part of the grant moves, and no caller is refused.
+  // The platform is unreachable. One data centre has spent its grant, and
+  // another one that it can reach has spare tokens. Part of that grant is
+  // transferred, and no caller is refused.
   it('moves grants between data centres while the platform is away', async () => {
-    // Nobody is lost here, however late a busy machine's heartbeats are.
+    // No keeper may count as lost in this test, even if a busy machine delays
+    // heartbeats.
     fleet.heartbeatLimitMilliseconds = 30_000;
     await fleet.add('a');
     await fleet.add('a');
@@ -248,9 +258,10 @@
     expect((await atA.begin('r3', 100)).verdict).toBe(BeginVerdict.RESERVED);
   });
 
-  // A data centre is cut off from the platform and sees another one. An operator
-  // tops up: the record reaches it by the other's relay.
-  it('sees a top-up through another data centre', async () => {
+  // A data centre can't reach the platform but can reach another data centre.
+  // The record of an operator's top-up arrives through the relay of that data
+  // centre.
+  it('reads a top-up through the relay of another data centre', async () => {
     await fleet.add('a');
     const far = await fleet.add('b');
     await fleet.holder('b');
@@ -272,9 +283,9 @@
     );
   });
 
-  // A host is replaced while the platform is away: the fresh keeper has to serve
-  // with the configuration in force, and knows the books from a peer.
-  it('starts a fresh keeper from its peers in an outage', async () => {
+  // A host is replaced while the platform is unreachable. The new keeper has to
+  // read the configuration in force and the ledger from a peer.
+  it('initialises a new keeper from its peers during an outage', async () => {
     await fleet.add('a');
     await fleet.add('a');
     await fleet.holder('a');
@@ -288,8 +299,9 @@
     );
   });
 
-  // Two hosts, holder and witness, are killed at once: nobody can tell what was
-  // spent, so the grant stays stranded until an operator says that they are gone.
+  // The hosts of the holder and of the witness are killed at once. No process
+  // has the spent amount, so the grant stays stranded until an operator
+  // releases it.
   it('strands a grant that lost holder and witness, until it is released', async () => {
     const killed = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
@@ -308,7 +320,9 @@
     expect(fleet.ledger().totals('org').billedTokens).toBe(0);
   });
 
-  // Guards against answered requests that are never billed after a partition.
+  // Guards against answered requests that are never billed after a partition:
+  // the holder dies while the log is unreachable, before the log has named its
+  // witness.
   it('bills settled requests of a holder that died before its witness was named', async () => {
     const holder = await fleet.add('a');
     const router = fleet.router(holder);
@@ -327,7 +341,7 @@
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
 
-  // A keeper is stopped in good order: its grants go back to the budget.
+  // On a graceful stop, a keeper returns its grants to the budget.
   it('returns its grants on a graceful stop', async () => {
     await fleet.add('a');
     await fleet.add('a');
@@ -339,7 +353,7 @@
   });
 
   it('returns a grant that its witness has no book of', async () => {
-    // Guards against tokens that nobody can use after the host has stopped.
+    // Guards against tokens that stay unusable after the host has stopped.
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
@@ -358,8 +372,9 @@
     expect(openGrantsOf(fleet, holder)).toEqual([]);
   });
 
-  it('returns a grant that a witness has fenced and the log has open', async () => {
-    // Guards against tokens that nobody can use after a reclaim that was refused.
+  it('returns a grant that its witness has fenced but that is open on the log', async () => {
+    // Guards against tokens that stay unusable after the log has refused a
+    // reclaim.
     const keepers = [await fleet.add('a'), await fleet.add('a')];
     const holder = await fleet.holder('a');
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
--- a/packages/keeper/src/test/fleet.ts
+++ b/packages/keeper/src/test/fleet.ts
@@ -33,14 +33,14 @@
 
 import {Keeper} from '../keeper.js';
 
-/** Engines that can't be asked. */
+/** A factory without reachable engines. */
 class NoEngines extends ModelEngineFactory {
   override connect(): never {
-    throw new Error('no engine');
+    throw new Error('engine is unreachable');
   }
 }
 
-/** A router's session with one keeper, as a test sees it. */
+/** A test router with a session with one keeper. */
 export class FakeRouter {
   readonly received: KeeperMessage[] = [];
   private readonly queue = new MessageQueue<RouterMessage>();
@@ -74,7 +74,7 @@
   async begin(
     requestId: string,
     boundTokens: number,
-    more: Partial<{
+    fields: Partial<{
       idempotent: boolean;
       fingerprint: string;
       beginNumber: number;
@@ -91,7 +91,7 @@
       boundTokens,
       attemptId: `${requestId}.${sequence}`,
       idempotent: true,
-      ...more,
+      ...fields,
     });
     this.send({case: 'begin', value});
     for (;;) {
@@ -137,7 +137,7 @@
     );
   }
 
-  /** Ends as a killed router does. */
+  /** Ends the session at once, as a crash of the router would. */
   kill(): void {
     this.ended.abort();
   }
@@ -153,12 +153,12 @@
   }
 }
 
-/** Waits for other tasks. */
+/** Waits 5 ms, so that other tasks can run. */
 export function pause(): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, 5));
 }
 
-/** Waits until something holds; the test's own limit ends it otherwise. */
+/** Waits until a condition holds; if it never does, the test times out. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await pause();
@@ -191,7 +191,10 @@
   },
 });
 
-/** Keepers in this process, over loopback, with a log and a list in memory. */
+/**
+ * Keepers in this process, connected over loopback, with a log and a host list
+ * in memory.
+ */
 export class Fleet {
   readonly clock = new SystemClock();
   readonly store = new MemoryLogStore(this.clock);
@@ -199,7 +202,7 @@
   readonly keepers: Keeper[] = [];
   readonly logs: MemoryLog[] = [];
   readonly routers: FakeRouter[] = [];
-  /** Of keepers that are added from now on. */
+  /** Heartbeat limit of keepers that are added from now on. */
   heartbeatLimitMilliseconds = 300;
 
   constructor() {
@@ -209,7 +212,7 @@
     );
   }
 
-  /** Starts a keeper on a host of its own. */
+  /** Starts a keeper on a new host. */
   async add(dataCenter: string): Promise<Keeper> {
     const host = `host-${this.keepers.length}`;
     const log = new MemoryLog(this.store, this.clock);
@@ -257,7 +260,7 @@
     return keeper;
   }
 
-  /** Opens a router's session. */
+  /** Opens a session of a test router with a keeper. */
   router(keeper: Keeper, incarnation = 'host/router/1'): FakeRouter {
     const {controlAddress} = keeper.identity;
     const router = new FakeRouter(incarnation, controlAddress);
@@ -266,9 +269,10 @@
   }
 
   /**
-   * The keeper that holds the organisation, once it has a witnessed grant. A first
-   * keeper that was alone may have a grant although a later one is the holder: it
-   * answers whom to ask instead, and a router would go there.
+   * Waits for the holder of the organisation in a data centre to have a
+   * witnessed grant, and returns it. The first keeper may have got a grant
+   * before it had a peer, although a later keeper is the holder. It then
+   * answers `NOT_HOLDER`, and a real router would follow that answer.
    */
   async holder(dataCenter: string): Promise<Keeper> {
     for (;;) {
@@ -294,7 +298,7 @@
     }
   }
 
-  /** The books as the whole log tells them. */
+  /** Folds the whole log. */
   ledger(): LedgerFold {
     const fold = new LedgerFold();
     for (const record of this.store.records('ledger-0')) {
@@ -303,7 +307,7 @@
     return fold;
   }
 
-  /** Ends everything at once. */
+  /** Ends all routers and keepers at once. */
   async close(): Promise<void> {
     this.routers.forEach(router => {
       router.kill();
--- a/packages/keeper/src/test/fold-listener_test.ts
+++ b/packages/keeper/src/test/fold-listener_test.ts
@@ -58,8 +58,9 @@
 }
 
 describe('FoldListener', () => {
-  it('keeps the book of a grant whose holder comes back to this witness', () => {
-    // Guards against a reclaim that gives tokens to others which requests still spend.
+  it('keeps the book of a grant whose holder changes back to this witness', () => {
+    // Guards against a reclaim that frees tokens which running requests still
+    // spend.
     const book = new WitnessBook();
     const listener = new FoldListener(
       SELF,
@@ -69,7 +70,8 @@
       EventLog.create(LogLevel.ERROR, {}),
     );
     openBook(book);
-    // The holder has sent the book already; this witness reads the log late.
+    // The holder has already sent the book when this witness reads both
+    // changes.
     witnessChanged(listener, SELF, OTHER);
     witnessChanged(listener, OTHER, SELF);
     book.fence(GRANT);
--- a/packages/keeper/src/test/keeper_test.ts
+++ b/packages/keeper/src/test/keeper_test.ts
@@ -30,7 +30,7 @@
     ).toBe(true);
   });
 
-  it('refuses what the whole budget does not cover', async () => {
+  it('refuses a request whose bound exceeds the whole budget', async () => {
     await fleet.add('a');
     await fleet.add('a');
     const router = fleet.router(await fleet.holder('a'));
--- a/packages/keeper/src/test/membership-table_test.ts
+++ b/packages/keeper/src/test/membership-table_test.ts
@@ -25,8 +25,9 @@
   });
 }
 
-// Guards against a grant that nobody can take back, as its holder was held up.
-it('names a witness that is silent for a moment, and none after its patience', async () => {
+// Guards against a grant that can't be reclaimed because its holder was stalled
+// and gave up its witness when all peers seemed unreachable.
+it('keeps an unreachable witness until the witness timeout', async () => {
   const clock = new FakeClock();
   const witnessTimeout = 3 * HEARTBEAT_LIMIT_MILLISECONDS;
   const table = new MembershipTable(
@@ -47,11 +48,12 @@
   expect(table.witnessFor('org')).toBeUndefined();
 });
 
-// Callers see routers that spend their time on control. Each router has a session
-// with every keeper, so several keepers name it, and the one heard from last
-// moved it to the end of the list: every heartbeat looked like a change and was
-// sent to all routers. What is known is the same, so nothing may be sent.
-it('tells routers nothing when peers repeat themselves in another order', () => {
+// Guards against routers that spend their time on control messages. Each router
+// has a session with every keeper, so several keepers list it, and each
+// heartbeat moved its routers to the end of the membership. Every heartbeat
+// then looked like a change and was sent to all routers, although the members
+// were the same.
+it('does not notify listeners when heartbeats list the same routers in another order', () => {
   const table = new MembershipTable(
     identity('self'),
     HEARTBEAT_LIMIT_MILLISECONDS,
--- a/packages/keeper/src/test/reclaimer_test.ts
+++ b/packages/keeper/src/test/reclaimer_test.ts
@@ -12,13 +12,13 @@
 const GRANT = 'g1';
 const HOLDER_TIMEOUT_MILLISECONDS = 1_000;
 
-const holderIsSilent = {
+const membershipWithLostHolder = {
   self: {incarnation: SELF},
   millisecondsSinceHeartbeat: () => HOLDER_TIMEOUT_MILLISECONDS + 1,
 } as unknown as MembershipTable;
 
-/** A log whose one grant names this witness, as the keeper has read it. */
-const namesSelf = {
+/** Replicas with one grant that has this keeper as its witness. */
+const replicasNamingSelf = {
   all: [
     {
       ledger: {
@@ -31,7 +31,7 @@
   ],
 } as unknown as LedgerReplicas;
 
-/** A log on which another witness is in force already. */
+/** An appender of a log on which another witness is already in force. */
 class RefusingAppender {
   readonly submitted: LedgerEntry[] = [];
 
@@ -48,13 +48,14 @@
 }
 
 describe('Reclaimer', () => {
-  it('lifts its fence when the log has named another witness before', async () => {
-    // Guards against a grant that neither its holder nor a later witness gets back.
+  it('lifts its fence when the log refuses the reclaim because of a new witness', async () => {
+    // Guards against a grant that neither its holder can use nor a witness
+    // reclaim.
     const book = new WitnessBook();
     const appender = new RefusingAppender();
     const reclaimer = new Reclaimer(
-      holderIsSilent,
-      namesSelf,
+      membershipWithLostHolder,
+      replicasNamingSelf,
       book,
       appender as unknown as LedgerAppender,
       HOLDER_TIMEOUT_MILLISECONDS,
