--- a/packages/keeper/src/bill-observer.ts
+++ b/packages/keeper/src/bill-observer.ts
@@ -5,10 +5,13 @@
 import {LedgerListener, type FoldedEntry} from './ledger-replica.js';
 import {DEMAND_HALF_LIFE_MILLISECONDS} from './organisation-grants.js';
 
-/** Bills kept in memory per organisation for explanations; older ones are dropped. */
+/**
+ * Bills kept in memory per organisation for explanations; older ones are
+ * dropped.
+ */
 const MAXIMUM_BILLS_PER_ORGANISATION = 2_000;
 
-interface ObservedOrganisation {
+interface OrganisationBills {
   readonly rate: RateEstimate;
   readonly bills: Map<string, Bill>;
 }
@@ -18,7 +21,7 @@
  * holders, and the latest bills for explanations.
  */
 export class BillObserver extends LedgerListener {
-  private readonly organisations = new Map<string, ObservedOrganisation>();
+  private readonly organisations = new Map<string, OrganisationBills>();
 
   constructor(private readonly clock: Clock) {
     super();
--- a/packages/keeper/src/book-replicator.ts
+++ b/packages/keeper/src/book-replicator.ts
@@ -10,7 +10,9 @@
 import {Acknowledgement} from './witness-link.js';
 import type {WitnessLinks} from './witness-links.js';
 
-/** How long a reservation without a witness waits for its log entry. */
+/**
+ * Maximum time that a reservation without a witness waits for its log entry.
+ */
 const WRITE_AHEAD_TIMEOUT_MILLISECONDS = 2_000;
 
 /** Replicates changes of the holder's books to a witness or to the log. */
@@ -75,10 +77,10 @@
    * Commits a change of a grant that has no witness.
    *
    * Such a grant can't be reclaimed, so its budget can't be overspent if a host
-   * dies; only the details of a bill can be lost. With `AVOID_UNCLEAR_BILLS`, the
-   * reservation is written to the log first and refused if that fails or times
-   * out. With `AVOID_REFUSALS`, the request continues if the log is unreachable
-   * or does not confirm the entry in time.
+   * dies; only the details of a bill can be lost. With `AVOID_UNCLEAR_BILLS`,
+   * the reservation is written to the log first and refused if that fails or
+   * times out. With `AVOID_REFUSALS`, the request continues if the log is
+   * unreachable or does not confirm the entry in time.
    */
   private async commitWithoutWitness(
     holding: GrantHolding,
@@ -116,9 +118,9 @@
     const timeout = this.clock
       .sleep(WRITE_AHEAD_TIMEOUT_MILLISECONDS, timeoutController.signal)
       .then(() => fallback);
-    const first = await Promise.race([written, timeout]);
+    const acknowledgement = await Promise.race([written, timeout]);
     timeoutController.abort();
-    holding.isClosed ||= first === Acknowledgement.Fenced;
-    return first;
+    holding.isClosed ||= acknowledgement === Acknowledgement.Fenced;
+    return acknowledgement;
   }
 }
--- a/packages/keeper/src/checkpoint-writer.ts
+++ b/packages/keeper/src/checkpoint-writer.ts
@@ -54,7 +54,8 @@
     const {stream, nextOffset} = replica;
     const {incarnation} = this.membership.self;
     // Set before the append: if the answer is lost, the record may have been
-    // stored. The next checkpoint then follows after the usual number of records.
+    // stored. The next checkpoint then follows after the usual number of
+    // records.
     this.lastCheckpointOffsets.set(stream, nextOffset);
     try {
       await this.log.append(stream, replica.checkpoint(incarnation), signal);
--- a/packages/keeper/src/claim-service.ts
+++ b/packages/keeper/src/claim-service.ts
@@ -8,14 +8,16 @@
 import type {PlatformHealth} from './platform-health.js';
 import type {RequestRegistry} from './request-registry.js';
 
-/** How long a caller waits at most until the log has decided its claim. */
+/** Maximum time that a caller waits for the log to decide its claim. */
 const CLAIM_TIMEOUT_MILLISECONDS = 3_000;
 
 /** The result of a claim. */
 export enum ClaimOutcome {
   Won = 'won',
   Lost = 'lost',
-  /** The log did not decide the claim in time; the request was not dispatched. */
+  /**
+   * The log did not decide the claim in time; the request was not dispatched.
+   */
   Undecided = 'undecided',
 }
 
@@ -61,10 +63,10 @@
   }
 
   /**
-   * Whether a router may use a claim that it already has on the log. This happens
-   * if a holder dies after the claim was won and before its router was told. Only
-   * that router may run the request, and only it can tell that it has not, so its
-   * `claimUnused` flag is sufficient.
+   * Whether a router may use a claim that it already has on the log. This
+   * happens if a holder dies after the claim was won and before its router was
+   * told. Only that router may run the request, and only it can tell that it
+   * has not, so its `claimUnused` flag is sufficient.
    */
   private canReuseClaim(
     existing: ClaimState,
@@ -104,9 +106,9 @@
     const timeout = this.clock
       .sleep(CLAIM_TIMEOUT_MILLISECONDS, timeoutController.signal)
       .then(() => ClaimOutcome.Undecided);
-    const first = await Promise.race([decided, timeout]);
+    const outcome = await Promise.race([decided, timeout]);
     waiting = false;
     timeoutController.abort();
-    return first;
+    return outcome;
   }
 }
--- a/packages/keeper/src/composition.ts
+++ b/packages/keeper/src/composition.ts
@@ -24,7 +24,9 @@
 import type {KeeperDependencies} from './keeper-parts.js';
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 2_000;
-/** The class can't be the service identifier, since its constructor is private. */
+/**
+ * The class can't be the service identifier, since its constructor is private.
+ */
 const EVENT_LOG: ServiceIdentifier<EventLog> = Symbol.for('EventLog');
 
 /**
--- a/packages/keeper/src/configuration-replica.ts
+++ b/packages/keeper/src/configuration-replica.ts
@@ -25,7 +25,10 @@
     return this.state.nextOffset;
   }
 
-  /** Version of the configuration in force; 0 before the first accepted publication. */
+  /**
+   * Version of the configuration in force; 0 before the first accepted
+   * publication.
+   */
   get version(): number {
     return this.state.version;
   }
--- a/packages/keeper/src/fold-listener.ts
+++ b/packages/keeper/src/fold-listener.ts
@@ -78,9 +78,10 @@
   }
 
   /**
-   * Handles a bill of this keeper that the fold did not accept. If an earlier copy
-   * of the same bill had been accepted, the book would already have dropped it. A
-   * duplicate therefore means that a bill under another grant came first.
+   * Handles a bill of this keeper that the fold did not accept. If an earlier
+   * copy of the same bill had been accepted, the book would already have
+   * dropped it. A duplicate therefore means that a bill under another grant
+   * came first.
    */
   private handleIgnoredOwnBill(
     holding: GrantHolding | undefined,
--- a/packages/keeper/src/gossip-task.ts
+++ b/packages/keeper/src/gossip-task.ts
@@ -6,17 +6,18 @@
 import type {PeerClients} from './peer-clients.js';
 
 /**
- * Each peer is contacted once in this number of rounds, and contacts this keeper
- * equally often. With the default settings a peer counts as unreachable after
- * five rounds. With fewer exchanges, peers in a fleet of 16 hosts flapped between
- * reachable and unreachable, and each change is sent to routers and moves holders.
+ * Each peer is contacted once in this number of rounds, and contacts this
+ * keeper equally often. With the default settings a peer counts as unreachable
+ * after five rounds. With fewer exchanges, peers in a fleet of 16 hosts flapped
+ * between reachable and unreachable, and each change is sent to routers and
+ * moves holders.
  */
 const ROUNDS_PER_CYCLE = 4;
 
 /**
  * Minimum interval between reads of the platform's host list once it names a
- * peer. The list lags by seconds and peers are also found by gossip, while a read
- * costs as much as a heartbeat.
+ * peer. The list lags by seconds and peers are also found by gossip, while a
+ * read costs as much as a heartbeat.
  */
 const HOST_LIST_INTERVAL_MILLISECONDS = 1_000;
 
--- a/packages/keeper/src/grant-holding.ts
+++ b/packages/keeper/src/grant-holding.ts
@@ -31,17 +31,17 @@
   }
 
   /**
-   * Whether a witness that must acknowledge changes has fenced the grant. Only the
-   * log decides whether the grant is reclaimed: it refuses the reclaim of a witness
-   * that is no longer in force, and the grant stays with this keeper.
+   * Whether a witness that must acknowledge changes has fenced the grant. Only
+   * the log decides whether the grant is reclaimed: it refuses the reclaim of a
+   * witness that is no longer in force, and the grant stays with this keeper.
    */
   get isFenced(): boolean {
     return this.witnesses.some(witness => this.fencingWitnesses.has(witness));
   }
 
   /**
-   * Witnesses that must acknowledge changes. During a change of witness these are
-   * both, as either may be the one in force on the log.
+   * Witnesses that must acknowledge changes. During a change of witness these
+   * are both, as either may be the one in force on the log.
    */
   get witnesses(): readonly string[] {
     return [this.witness, this.candidate ?? ''].filter(name => name !== '');
--- a/packages/keeper/src/grant-maintainer.ts
+++ b/packages/keeper/src/grant-maintainer.ts
@@ -7,7 +7,10 @@
 import type {OrganisationGrants} from './organisation-grants.js';
 import {Acknowledgement} from './witness-link.js';
 
-/** Keeps a live witness for each held grant, and closes grants that are no longer needed. */
+/**
+ * Keeps a live witness for each held grant, and closes grants that are no
+ * longer needed.
+ */
 export class GrantMaintainer {
   private readonly changingWitness = new Set<string>();
   /** Grants whose witness is being asked whether they are still fenced. */
@@ -68,9 +71,9 @@
   }
 
   /**
-   * Sends the book of a fenced grant again. The witness lifts its fence when the
-   * log has refused the reclaim, but no reservation is sent while the grant is
-   * fenced, so nothing else would show that the fence is gone.
+   * Sends the book of a fenced grant again. The witness lifts its fence when
+   * the log has refused the reclaim, but no reservation is sent while the grant
+   * is fenced, so nothing else would show that the fence is gone.
    */
   private reviewFence(holding: GrantHolding): void {
     const {grantId} = holding;
@@ -90,10 +93,10 @@
   }
 
   /**
-   * Changes the witness of a grant. The new witness gets the full book before the
-   * log names it, and both witnesses must acknowledge changes until the log has
-   * decided. The witness that is in force when it fences the grant therefore has
-   * every dispatched request in its book.
+   * Changes the witness of a grant. The new witness gets the full book before
+   * the log names it, and both witnesses must acknowledge changes until the log
+   * has decided. The witness that is in force when it fences the grant
+   * therefore has every dispatched request in its book.
    */
   private async changeWitness(
     organisation: string,
@@ -133,7 +136,10 @@
     });
   }
 
-  /** Sets the witness that is in force in the fold, whether the change was accepted or not. */
+  /**
+   * Sets the witness that is in force in the fold, whether the change was
+   * accepted or not.
+   */
   private applyLoggedWitness(
     organisation: string,
     holding: GrantHolding,
@@ -162,8 +168,8 @@
       return;
     }
     // Only holdings without spendable tokens are closed: a small remainder may
-    // still cover a small request, and closing it would cause an immediate request
-    // for the same amount.
+    // still cover a small request, and closing it would cause an immediate
+    // request for the same amount.
     const isExhausted =
       holding.spendableTokens === 0 &&
       book.isSettled &&
--- a/packages/keeper/src/grant-manager.ts
+++ b/packages/keeper/src/grant-manager.ts
@@ -14,22 +14,28 @@
 import {InterruptibleSleep} from './interruptible-sleep.js';
 
 /**
- * Length of a network partition, in seconds, that grants should cover: the users'
- * pages report that regions are sometimes partitioned for an hour.
+ * Length of a network partition, in seconds, that grants should cover: the
+ * users' pages report that regions are sometimes partitioned for an hour.
  */
 export const EXPECTED_PARTITION_SECONDS = 3_600;
 
-/** Minimum interval between grant requests of an organisation with no waiting request. */
+/**
+ * Minimum interval between grant requests of an organisation with no waiting
+ * request.
+ */
 const REFILL_INTERVAL_MILLISECONDS = 500;
 /**
- * Minimum interval between returns of an organisation's idle tokens. Without it,
- * holders with shifting shares of the demand return tokens and request them again
- * as fast as the log answers. Two seconds keep this below one append per second
- * for each organisation and holder.
+ * Minimum interval between returns of an organisation's idle tokens. Without
+ * it, holders with shifting shares of the demand return tokens and request them
+ * again as fast as the log answers. Two seconds keep this below one append per
+ * second for each organisation and holder.
  */
 const RETURN_INTERVAL_MILLISECONDS = 2_000;
 
-/** Manages this keeper's grants of all organisations, and requests and returns tokens. */
+/**
+ * Manages this keeper's grants of all organisations, and requests and returns
+ * tokens.
+ */
 export class GrantManager {
   private readonly organisations = new Map<string, OrganisationGrants>();
   private readonly nextRefillAt = new Map<string, number>();
@@ -43,7 +49,9 @@
     );
   }
 
-  /** Returns the grants of an organisation; creates an empty set on first use. */
+  /**
+   * Returns the grants of an organisation; creates an empty set on first use.
+   */
   forOrganisation(organisation: string): OrganisationGrants {
     const known = this.organisations.get(organisation);
     if (known !== undefined) {
@@ -76,7 +84,10 @@
     return this.organisations.get(organisation)?.holdings.get(grantId);
   }
 
-  /** Resolves when a request needs tokens, a grant was decided, or after the delay. */
+  /**
+   * Resolves when a request needs tokens, a grant was decided, or after the
+   * delay.
+   */
   async waitForDemand(
     milliseconds: number,
     signal: AbortSignal,
@@ -84,7 +95,9 @@
     await this.reviewSleep.sleep(milliseconds, signal);
   }
 
-  /** Requests or returns tokens of one organisation as the grant policy decides. */
+  /**
+   * Requests or returns tokens of one organisation as the grant policy decides.
+   */
   review(organisation: string): void {
     const grants = this.forOrganisation(organisation);
     const decision = this.dependencies.policy.decide(this.policyInput(grants));
@@ -201,7 +214,10 @@
     return holding;
   }
 
-  /** Requests a grant at once if a request waits, otherwise at the refill interval. */
+  /**
+   * Requests a grant at once if a request waits, otherwise at the refill
+   * interval.
+   */
   private requestAtInterval(
     grants: OrganisationGrants,
     decision: GrantDecision,
@@ -250,8 +266,8 @@
   }
 
   /**
-   * Closes a holding that is settled. All its bills and transfers are on the log,
-   * so the free tokens of its book equal those of the grant in the fold.
+   * Closes a holding that is settled. All its bills and transfers are on the
+   * log, so the free tokens of its book equal those of the grant in the fold.
    */
   async closeHolding(holding: GrantHolding): Promise<void> {
     holding.isReturning = true;
@@ -299,5 +315,8 @@
   }
 }
 
-/** The budget preference of organisations that the configuration does not contain. */
+/**
+ * The budget preference of organisations that the configuration does not
+ * contain.
+ */
 export const DEFAULT_BUDGET_PREFERENCE = BudgetPreference.AVOID_UNCLEAR_BILLS;
--- a/packages/keeper/src/keeper-inspection.ts
+++ b/packages/keeper/src/keeper-inspection.ts
@@ -141,7 +141,10 @@
     };
   }
 
-  /** Whether this keeper can reach neither the holder nor the witness of a grant. */
+  /**
+   * Whether this keeper can reach neither the holder nor the witness of a
+   * grant.
+   */
   private isStranded(holder: string, witness: string): boolean {
     return (
       !this.membership.isReachable(holder) &&
--- a/packages/keeper/src/keeper-options.ts
+++ b/packages/keeper/src/keeper-options.ts
@@ -22,7 +22,10 @@
 const DEFAULT_ORPHAN_WAIT_MILLISECONDS = 10_000;
 const DEFAULT_CHECKPOINT_RECORDS = 5_000;
 
-/** Returns a number of the settings or its default; proto3 reads a missing number as 0. */
+/**
+ * Returns a number of the settings or its default; proto3 reads a missing
+ * number as 0.
+ */
 function orDefault(value: number, defaultValue: number): number {
   return value === 0 ? defaultValue : value;
 }
--- a/packages/keeper/src/keeper-review.ts
+++ b/packages/keeper/src/keeper-review.ts
@@ -7,10 +7,16 @@
 
 /** Maximum interval between two checks of grants, witnesses and lost peers. */
 const REVIEW_INTERVAL_MILLISECONDS = 250;
-/** Interval between checks for due checkpoints; one is due after thousands of records. */
+/**
+ * Interval between checks for due checkpoints; one is due after thousands of
+ * records.
+ */
 const CHECKPOINT_REVIEW_INTERVAL_MILLISECONDS = 1_000;
 
-/** Periodically checks all state that changes with time or with the state of peers. */
+/**
+ * Periodically checks all state that changes with time or with the state of
+ * peers.
+ */
 export class KeeperReview {
   constructor(private readonly parts: KeeperParts) {}
 
@@ -72,7 +78,8 @@
 
   /**
    * Credits the opening budget of an organisation. The publisher of the
-   * configuration appends the same entry; its identifier makes it count only once.
+   * configuration appends the same entry; its identifier makes it count only
+   * once.
    */
   private creditOpeningBudget(organisation: Organisation): void {
     const entryId = openingEntryId(organisation.name);
@@ -94,7 +101,9 @@
     }
   }
 
-  /** Whether a request waits for tokens that can't be granted through the log. */
+  /**
+   * Whether a request waits for tokens that can't be granted through the log.
+   */
   private needsTokensFromPeers(grants: OrganisationGrants): boolean {
     const {replicas, health} = this.parts;
     const bound = grants.waitingBoundTokens;
--- a/packages/keeper/src/keeper.ts
+++ b/packages/keeper/src/keeper.ts
@@ -14,9 +14,9 @@
 import {RequestPhase} from './request-registry.js';
 import {StreamFollower} from './stream-follower.js';
 
-/** How long a graceful stop waits at most for requests in progress. */
+/** Maximum time that a graceful stop waits for requests in progress. */
 const DRAIN_TIMEOUT_MILLISECONDS = 60_000;
-/** How long a graceful stop waits at most until the returns are on the log. */
+/** Maximum time that a graceful stop waits for the returns to be on the log. */
 const RETURN_TIMEOUT_MILLISECONDS = 5_000;
 const POLL_INTERVAL_MILLISECONDS = 50;
 
--- a/packages/keeper/src/ledger-appender.ts
+++ b/packages/keeper/src/ledger-appender.ts
@@ -14,8 +14,8 @@
 /** Delay before the next append after a failed one. */
 const RETRY_DELAY_MILLISECONDS = 250;
 /**
- * Delay before an entry is appended again if the fold has not shown it. An entry
- * whose append was answered is normally folded well within this time.
+ * Delay before an entry is appended again if the fold has not shown it. An
+ * entry whose append was answered is normally folded well within this time.
  */
 const RESEND_DELAY_MILLISECONDS = 5_000;
 
@@ -81,9 +81,10 @@
   }
 
   /**
-   * Appends an entry and resolves with its verdict once it was folded. There is no
-   * timeout: the entry stays pending during an outage of the platform. A call with
-   * the identifier of a pending entry returns the promise of that entry.
+   * Appends an entry and resolves with its verdict once it was folded. There is
+   * no timeout: the entry stays pending during an outage of the platform. A
+   * call with the identifier of a pending entry returns the promise of that
+   * entry.
    */
   submit(
     entry: LedgerEntry,
@@ -129,7 +130,10 @@
     this.sleepOf(stream).wake();
   }
 
-  /** Appends the due entries of one stream until the signal is aborted, one record at a time. */
+  /**
+   * Appends the due entries of one stream until the signal is aborted, one
+   * record at a time.
+   */
   async run(stream: string, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const batch = this.dueEntries(stream);
@@ -197,13 +201,14 @@
     try {
       await this.log.append(stream, payload, signal);
     } catch (error) {
-      // A read may stay open for seconds, while a failed append shows an outage at
-      // once. Requests that wait for tokens can then be served by peers in time.
+      // A read may stay open for seconds, while a failed append shows an outage
+      // at once. Requests that wait for tokens can then be served by peers in
+      // time.
       this.health.recordFailure(stream);
       this.eventLog.debug('append failed', {stream, reason: String(error)});
       await this.clock.sleep(RETRY_DELAY_MILLISECONDS, signal);
-      // The append may or may not have taken effect. Entries that were not folded
-      // by now are sent again in either case.
+      // The append may or may not have taken effect. Entries that were not
+      // folded by now are sent again in either case.
       batch.forEach(pending => {
         pending.sentAt = undefined;
       });
--- a/packages/keeper/src/ledger-entries.ts
+++ b/packages/keeper/src/ledger-entries.ts
@@ -32,7 +32,10 @@
   return ledgerEntry(entryId, organisation, {case: 'bill', value: bill});
 }
 
-/** Creates the entry of a transfer. The sending and the receiving holder append the same entry. */
+/**
+ * Creates the entry of a transfer. The sending and the receiving holder append
+ * the same entry.
+ */
 export function transferEntry(
   organisation: string,
   transfer: Transfer,
--- a/packages/keeper/src/ledger-replica.ts
+++ b/packages/keeper/src/ledger-replica.ts
@@ -21,7 +21,9 @@
 /** Receives every folded entry in log order. */
 export abstract class LedgerListener {
   abstract entryFolded(entry: FoldedEntry): void;
-  /** Called after a stream was restored from a checkpoint, which skips records. */
+  /**
+   * Called after a stream was restored from a checkpoint, which skips records.
+   */
   abstract checkpointRestored(stream: string): void;
 }
 
@@ -29,7 +31,8 @@
   try {
     return fromBinary(LedgerBatchSchema, payload);
   } catch {
-    // A record that can't be decoded must not stop every reader; the fold skips it too.
+    // A record that can't be decoded must not stop every reader; the fold skips
+    // it too.
     return create(LedgerBatchSchema);
   }
 }
--- a/packages/keeper/src/ledger-replicas.ts
+++ b/packages/keeper/src/ledger-replicas.ts
@@ -5,7 +5,10 @@
 /** Replicas of all ledger streams of the fleet. */
 export class LedgerReplicas {
   readonly all: readonly LedgerReplica[];
-  /** Replica by organisation; hashing the name at each lookup took most of a review's time. */
+  /**
+   * Replica by organisation; hashing the name at each lookup took most of a
+   * review's time.
+   */
   private readonly byOrganisation = new Map<string, LedgerReplica>();
 
   /** @param ledgerStreams Number of ledger streams. */
--- a/packages/keeper/src/membership-table.ts
+++ b/packages/keeper/src/membership-table.ts
@@ -20,7 +20,7 @@
 /** A keeper is removed after this many heartbeat limits without a heartbeat. */
 const EXPIRY_HEARTBEAT_LIMITS = 20;
 
-interface KnownKeeper {
+interface PeerState {
   readonly identity: ProcessIdentity;
   state: HostState;
   lastHeartbeatAt: number;
@@ -31,11 +31,11 @@
 
 /**
  * The live processes as seen by this keeper. The platform's host list names the
- * peers to contact, and a peer counts as reachable while its last heartbeat is not
- * older than the heartbeat limit.
+ * peers to contact, and a peer counts as reachable while its last heartbeat is
+ * not older than the heartbeat limit.
  */
 export class MembershipTable {
-  private readonly keepers = new Map<string, KnownKeeper>();
+  private readonly keepers = new Map<string, PeerState>();
   private ownRouters = new Map<string, ProcessIdentity>();
   private readonly platform = new PlatformListing();
   private ownState = HostState.LIVE;
@@ -51,12 +51,17 @@
     private readonly witnessTimeoutMilliseconds = heartbeatLimitMilliseconds,
   ) {}
 
-  /** Adds a listener that is called when the membership sent to routers has changed. */
+  /**
+   * Adds a listener that is called when the membership sent to routers has
+   * changed.
+   */
   addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Marks this keeper as leaving, so that it is no longer chosen as a holder. */
+  /**
+   * Marks this keeper as leaving, so that it is no longer chosen as a holder.
+   */
   startLeaving(): void {
     this.ownState = HostState.LEAVING;
     this.refresh();
@@ -112,7 +117,10 @@
     this.refresh();
   }
 
-  /** Whether a peer's last heartbeat is within the limit; always true for this keeper. */
+  /**
+   * Whether a peer's last heartbeat is within the limit; always true for this
+   * keeper.
+   */
   isReachable(incarnation: string): boolean {
     return (
       incarnation === this.self.incarnation ||
@@ -129,7 +137,10 @@
       : this.clock.monotonicMilliseconds() - keeper.lastHeartbeatAt;
   }
 
-  /** Returns the identity of a known keeper, with the address by which this host reaches it. */
+  /**
+   * Returns the identity of a known keeper, with the address by which this host
+   * reaches it.
+   */
   identityOf(incarnation: string): ProcessIdentity | undefined {
     if (incarnation === this.self.incarnation) {
       return this.self;
@@ -165,14 +176,17 @@
   }
 
   /**
-   * Returns the peer that should witness this keeper's grants of an organisation.
-   * It is always on another host, and in the same data centre if possible.
+   * Returns the peer that should witness this keeper's grants of an
+   * organisation. It is always on another host, and in the same data centre if
+   * possible.
    *
-   * After a stall of this process or its host, all peers seem to be unreachable. A
-   * grant that lost its witness at once could not be reclaimed if this host died,
-   * so peers whose last heartbeat is within the witness timeout then count too.
+   * After a stall of this process or its host, all peers seem to be
+   * unreachable. A grant that lost its witness at once could not be reclaimed
+   * if this host died, so peers whose last heartbeat is within the witness
+   * timeout then count too.
    *
-   * @returns Undefined if no peer's last heartbeat is within the witness timeout.
+   * @returns Undefined if no peer's last heartbeat is within the witness
+   * timeout.
    */
   witnessFor(organisation: string): string | undefined {
     const reachable = this.witnessesHeardWithin(
@@ -210,7 +224,10 @@
       .map(keeper => this.platform.withReachableAddress(keeper.identity));
   }
 
-  /** Data centres with a live host on the host list or a known keeper, including this one. */
+  /**
+   * Data centres with a live host on the host list or a known keeper, including
+   * this one.
+   */
   get dataCenters(): ReadonlySet<string> {
     return new Set([
       this.self.dataCenter,
@@ -219,7 +236,10 @@
     ]);
   }
 
-  /** Returns the identity of a router, or undefined if it is not known to be live. */
+  /**
+   * Returns the identity of a router, or undefined if it is not known to be
+   * live.
+   */
   liveRouter(incarnation: string): ProcessIdentity | undefined {
     return this.routers.find(
       router => router.identity?.incarnation === incarnation,
@@ -257,7 +277,10 @@
     });
   }
 
-  /** Removes expired keepers, and notifies listeners if the membership has changed. */
+  /**
+   * Removes expired keepers, and notifies listeners if the membership has
+   * changed.
+   */
   refresh(): void {
     const limit = EXPIRY_HEARTBEAT_LIMITS * this.heartbeatLimitMilliseconds;
     for (const incarnation of [...this.keepers.keys()]) {
@@ -306,9 +329,10 @@
 
   /**
    * Endpoints that this keeper or any reachable peer has read as leaving. Peers
-   * are included since the platform's list lags and a data centre may be cut off
-   * from it. Each keeper sends only what it has read itself; otherwise keepers
-   * would confirm each other's state and exclude an endpoint that came back.
+   * are included since the platform's list lags and a data centre may be cut
+   * off from it. Each keeper sends only what it has read itself; otherwise
+   * keepers would confirm each other's state and exclude an endpoint that came
+   * back.
    */
   private get leavingEndpoints(): readonly string[] {
     const reachable = [...this.keepers.values()].filter(keeper =>
--- a/packages/keeper/src/organisation-grants.ts
+++ b/packages/keeper/src/organisation-grants.ts
@@ -11,12 +11,15 @@
 import {Acknowledgement} from './witness-link.js';
 
 /**
- * Half-life of the demand estimate that decides the size of grants. With a shorter
- * one, the estimate of a data centre with a few requests per minute would depend
- * on when they happen to arrive.
+ * Half-life of the demand estimate that decides the size of grants. With a
+ * shorter one, the estimate of a data centre with a few requests per minute
+ * would depend on when they happen to arrive.
  */
 export const DEMAND_HALF_LIFE_MILLISECONDS = 600_000;
-/** Largest bound before the first request, in tokens: a common bound of chat completions. */
+/**
+ * Largest bound before the first request, in tokens: a common bound of chat
+ * completions.
+ */
 const INITIAL_BOUND_TOKENS = 2_048;
 /** Factor by which the largest bound decays with each later request. */
 const LARGEST_BOUND_DECAY = 0.98;
@@ -38,7 +41,10 @@
   readonly holding?: GrantHolding;
 }
 
-/** This keeper's grants of one organisation, and the requests that wait for tokens. */
+/**
+ * This keeper's grants of one organisation, and the requests that wait for
+ * tokens.
+ */
 export class OrganisationGrants {
   readonly holdings = new Map<string, GrantHolding>();
   /** Tokens of grant requests that the log has not decided yet. */
@@ -56,9 +62,10 @@
   ) {}
 
   /**
-   * Remaining tokens of the whole budget, across all holders: the remainder on the
-   * log less the bills that were settled here and are not folded yet. Infinity
-   * while the log has no credit, as the opening budget is not folded yet.
+   * Remaining tokens of the whole budget, across all holders: the remainder on
+   * the log less the bills that were settled here and are not folded yet.
+   * Infinity while the log has no credit, as the opening budget is not folded
+   * yet.
    */
   private get remainingTokens(): number {
     const unbilled = [...this.holdings.values()]
@@ -106,9 +113,10 @@
   /**
    * Reserves a request's bound, and waits for tokens up to the timeout.
    *
-   * A burst can exhaust the grant before the refill is on the log; without waiting,
-   * requests would be refused although budget remains. The wait is limited, since
-   * a caller that is refused late has less time to try elsewhere.
+   * A burst can exhaust the grant before the refill is on the log; without
+   * waiting, requests would be refused although budget remains. The wait is
+   * limited, since a caller that is refused late has less time to try
+   * elsewhere.
    */
   async reserve(
     reservation: RequestReservation,
@@ -135,8 +143,8 @@
         this.waitingBounds.set(requestId, bound);
         this.onTokensNeeded();
       }
-      // If the whole budget does not cover the bound, no refill, return or peer can
-      // help, so the request is refused without waiting for the timeout.
+      // If the whole budget does not cover the bound, no refill, return or peer
+      // can help, so the request is refused without waiting for the timeout.
       const cannotBeCovered =
         outcome === ReserveOutcome.BudgetExhausted &&
         this.remainingTokens < bound;
@@ -148,7 +156,10 @@
     }
   }
 
-  /** Returns the smallest holding that covers the bound, to keep larger ones for larger bounds. */
+  /**
+   * Returns the smallest holding that covers the bound, to keep larger ones for
+   * larger bounds.
+   */
   private holdingFor(bound: number): GrantHolding | undefined {
     return [...this.holdings.values()]
       .filter(
@@ -165,16 +176,18 @@
     holding: GrantHolding,
     reservation: RequestReservation,
   ): Promise<Acknowledgement> {
-    const copy = clone(RequestReservationSchema, reservation);
-    const change = holding.book.reserve(copy);
+    const ownReservation = clone(RequestReservationSchema, reservation);
+    const change = holding.book.reserve(ownReservation);
     if (change === undefined) {
       return Acknowledgement.Unconfirmed;
     }
     const acknowledged = await this.replicator.commit(holding, change);
     if (acknowledged !== Acknowledgement.Applied) {
-      // The request was not dispatched. If this message is lost, the witness gets
-      // the release with the next full book.
-      const released = holding.book.release(copy.reservation?.requestId ?? '');
+      // The request was not dispatched. If this message is lost, the witness
+      // gets the release with the next full book.
+      const released = holding.book.release(
+        ownReservation.reservation?.requestId ?? '',
+      );
       if (released !== undefined) {
         void this.replicator.commit(holding, released);
       }
--- a/packages/keeper/src/orphan-settler.ts
+++ b/packages/keeper/src/orphan-settler.ts
@@ -18,14 +18,14 @@
 } from './request-registry.js';
 import type {SettlementService} from './settlement-service.js';
 
-/** How long to wait at most for an engine's usage report. */
+/** Maximum time to wait for an engine's usage report. */
 const ENGINE_TIMEOUT_MILLISECONDS = 3_000;
 
 /**
  * Settles requests whose router was lost and whose caller did not retry. If the
- * engine reports the usage, the request is charged for it. Otherwise the bound is
- * charged and the bill is marked unconfirmed, so that the books neither omit usage
- * nor present an estimate as measured.
+ * engine reports the usage, the request is charged for it. Otherwise the bound
+ * is charged and the bill is marked unconfirmed, so that the books neither omit
+ * usage nor present an estimate as measured.
  */
 export class OrphanSettler {
   private readonly settlingRequests = new Set<string>();
@@ -41,11 +41,14 @@
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Marks requests of lost routers as orphaned, and settles those that have waited long enough. */
+  /**
+   * Marks requests of lost routers as orphaned, and settles those that have
+   * waited long enough.
+   */
   review(): void {
     for (const request of this.registry.inPhase(RequestPhase.Running)) {
-      // Requests inherited from a lost holder may have no session here, so no end
-      // of a session would mark them as orphaned.
+      // Requests inherited from a lost holder may have no session here, so no
+      // end of a session would mark them as orphaned.
       if (this.membership.liveRouter(request.router) === undefined) {
         this.registry.enterPhase(request, RequestPhase.Orphaned);
       }
@@ -85,7 +88,8 @@
     }
     const engine = this.engines.connect(endpoint.name, endpoint.address);
     try {
-      // Cancelling also frees the engine's slot, as no caller waits for the answer.
+      // Cancelling also frees the engine's slot, as no caller waits for the
+      // answer.
       const status = await engine.cancel(
         request.attempt.attemptId,
         AbortSignal.timeout(ENGINE_TIMEOUT_MILLISECONDS),
--- a/packages/keeper/src/peer-clients.ts
+++ b/packages/keeper/src/peer-clients.ts
@@ -5,7 +5,10 @@
 } from '@connectrpc/connect-node';
 import {KeeperService} from '@wisteriadeal/schema';
 
-/** Interval of HTTP/2 PING frames; a missing answer shows that the peer's host was lost. */
+/**
+ * Interval of HTTP/2 PING frames; a missing answer shows that the peer's host
+ * was lost.
+ */
 const PING_INTERVAL_MILLISECONDS = 10_000;
 const PING_TIMEOUT_MILLISECONDS = 2_000;
 
@@ -43,9 +46,10 @@
 
   /**
    * Drops all clients. Streams are ended by their own signals, and a connection
-   * without streams does not keep the process alive. `abort` of the session manager
-   * is not called: if the peer closes the connection at the same moment, `abort`
-   * leaves the socket's error without a listener, which ends the process.
+   * without streams does not keep the process alive. `abort` of the session
+   * manager is not called: if the peer closes the connection at the same
+   * moment, `abort` leaves the socket's error without a listener, which ends
+   * the process.
    */
   close(): void {
     this.clients.clear();
--- a/packages/keeper/src/platform-health.ts
+++ b/packages/keeper/src/platform-health.ts
@@ -1,4 +1,7 @@
-/** Whether the platform's log can be read, per stream, from the results of this keeper's calls. */
+/**
+ * Whether the platform's log can be read, per stream, from the results of this
+ * keeper's calls.
+ */
 export class PlatformHealth {
   private readonly reachable = new Map<string, boolean>();
   private readonly caughtUp = new Set<string>();
--- a/packages/keeper/src/platform-listing.ts
+++ b/packages/keeper/src/platform-listing.ts
@@ -33,7 +33,10 @@
     return this.listing.hosts;
   }
 
-  /** Returns the last list entry of a host, even if the host is no longer listed. */
+  /**
+   * Returns the last list entry of a host, even if the host is no longer
+   * listed.
+   */
   lastListed(host: string): ListedHost | undefined {
     return this.hostsEverListed.get(host);
   }
@@ -45,7 +48,10 @@
       .map(host => host.dataCenter);
   }
 
-  /** Endpoints that are listed as leaving, or were listed before and no longer are. */
+  /**
+   * Endpoints that are listed as leaving, or were listed before and no longer
+   * are.
+   */
   get leavingEndpoints(): readonly string[] {
     const live = new Set(
       this.listing.endpoints
@@ -59,18 +65,18 @@
 
   /**
    * Returns a keeper's identity with the address by which this host reaches it.
-   * The address that a peer announces may be valid only in its own data centre, as
-   * data centres can be connected by another network than the hosts within one.
-   * Without this, a listed host can't be reached from other data centres.
+   * The address that a peer announces may be valid only in its own data centre,
+   * as data centres can be connected by another network than the hosts within
+   * one. Without this, a listed host can't be reached from other data centres.
    */
   withReachableAddress(identity: ProcessIdentity): ProcessIdentity {
     return withAddress(identity, this.lastListed(identity.host)?.keeperAddress);
   }
 
   /**
-   * Returns routers with the addresses by which this host reaches them. A keeper
-   * announces all routers that have a session with it, also of other hosts, so the
-   * address comes from the list entry of each router's own host.
+   * Returns routers with the addresses by which this host reaches them. A
+   * keeper announces all routers that have a session with it, also of other
+   * hosts, so the address comes from the list entry of each router's own host.
    */
   withReachableAddresses(
     routers: readonly RouterMember[],
--- a/packages/keeper/src/recent-records.ts
+++ b/packages/keeper/src/recent-records.ts
@@ -1,9 +1,9 @@
 import type {LogRecord} from '@wisteriadeal/platform';
 
 /**
- * Maximum size of the payloads kept per stream for peers that can't read the log.
- * A peer that is further behind gets a checkpoint first, so the limit affects the
- * bytes that are sent but not correctness.
+ * Maximum size of the payloads kept per stream for peers that can't read the
+ * log. A peer that is further behind gets a checkpoint first, so the limit
+ * affects the bytes that are sent but not correctness.
  */
 const MAXIMUM_BYTES_PER_STREAM = 8 * 1_024 * 1_024;
 
@@ -26,7 +26,10 @@
     }
   }
 
-  /** Removes all records, for the case that the next one does not follow on them. */
+  /**
+   * Removes all records, for the case that the next one does not follow on
+   * them.
+   */
   clear(): void {
     this.records = [];
     this.bytes = 0;
--- a/packages/keeper/src/reclaimer.ts
+++ b/packages/keeper/src/reclaimer.ts
@@ -20,7 +20,10 @@
 export class Reclaimer {
   private readonly reclaiming = new Set<string>();
   private readonly firstMissedAt = new Map<string, number>();
-  /** Request identifiers of bills that were submitted for lost holders and not folded yet. */
+  /**
+   * Request identifiers of bills that were submitted for lost holders and not
+   * folded yet.
+   */
   private readonly pendingBills = new Set<string>();
   private submittedReclaims = 0;
 
@@ -60,10 +63,10 @@
 
   /**
    * Submits the settled bills of a lost holder whose grant this keeper can't
-   * reclaim because the log has not named it as the witness. Otherwise the bills of
-   * a holder that lost its connection to the log and then died would never be
-   * written. If the holder returns and submits them too, the fold counts only the
-   * first bill of each request.
+   * reclaim because the log has not named it as the witness. Otherwise the
+   * bills of a holder that lost its connection to the log and then died would
+   * never be written. If the holder returns and submits them too, the fold
+   * counts only the first bill of each request.
    */
   private submitBills(
     organisation: string,
@@ -93,8 +96,8 @@
   }
 
   /**
-   * Whether a holder has sent no heartbeat for longer than the timeout. For a holder
-   * without any heartbeat, the time starts with the first call.
+   * Whether a holder has sent no heartbeat for longer than the timeout. For a
+   * holder without any heartbeat, the time starts with the first call.
    */
   private isLost(holder: string): boolean {
     const silence = this.membership.millisecondsSinceHeartbeat(holder);
@@ -102,9 +105,9 @@
       this.firstMissedAt.delete(holder);
       return silence > this.holderTimeoutMilliseconds;
     }
-    const first = this.firstMissedAt.get(holder) ?? this.now();
-    this.firstMissedAt.set(holder, first);
-    return this.now() - first > this.holderTimeoutMilliseconds;
+    const firstMissed = this.firstMissedAt.get(holder) ?? this.now();
+    this.firstMissedAt.set(holder, firstMissed);
+    return this.now() - firstMissed > this.holderTimeoutMilliseconds;
   }
 
   private reclaim(organisation: string, grantId: string, holder: string): void {
@@ -123,8 +126,8 @@
       peer: holder,
       openReservations: value.openReservations.length,
     });
-    // The counter makes each identifier unique, so that a reclaim that follows a
-    // refused one is not ignored as a duplicate.
+    // The counter makes each identifier unique, so that a reclaim that follows
+    // a refused one is not ignored as a duplicate.
     const entryId = `reclaim:${grantId}:${value.witness}:${this.submittedReclaims++}`;
     void this.appender
       .submit(ledgerEntry(entryId, organisation, {case: 'reclaim', value}))
@@ -140,11 +143,11 @@
   }
 
   /**
-   * Lifts the fence if the log refused the reclaim because another witness is in
-   * force. This happens if a slow holder was treated as lost and has changed its
-   * witness in the meantime. With the fence left in place, the holder could never
-   * use this witness again, and this keeper would not reclaim the grant once the
-   * holder is really lost.
+   * Lifts the fence if the log refused the reclaim because another witness is
+   * in force. This happens if a slow holder was treated as lost and has changed
+   * its witness in the meantime. With the fence left in place, the holder could
+   * never use this witness again, and this keeper would not reclaim the grant
+   * once the holder is really lost.
    */
   private handleReclaimVerdict(grantId: string, {reason}: EntryVerdict): void {
     if (reason === RefusalReason.NotWitness) {
--- a/packages/keeper/src/relay-reader.ts
+++ b/packages/keeper/src/relay-reader.ts
@@ -16,8 +16,8 @@
   ) {}
 
   /**
-   * Applies records from a peer that has read further, until the signal is aborted
-   * or the peer's stream ends.
+   * Applies records from a peer that has read further, until the signal is
+   * aborted or the peer's stream ends.
    *
    * @returns False if no reachable peer has read further.
    */
--- a/packages/keeper/src/relay-server.ts
+++ b/packages/keeper/src/relay-server.ts
@@ -8,7 +8,10 @@
 
 import type {StreamReplica} from './stream-replica.js';
 
-/** Records per batch; each batch is read from the buffer after the previous one was sent. */
+/**
+ * Records per batch; each batch is read from the buffer after the previous one
+ * was sent.
+ */
 const RECORDS_PER_BATCH = 200;
 
 /** Relays records to peers that can't read the log themselves. */
@@ -19,8 +22,8 @@
   ) {}
 
   /**
-   * Sends the records of a stream to one follower until the signal is aborted. A
-   * follower that is behind the buffered records first gets a checkpoint.
+   * Sends the records of a stream to one follower until the signal is aborted.
+   * A follower that is behind the buffered records first gets a checkpoint.
    *
    * @throws ConnectError with code NotFound if this keeper has no such stream.
    */
--- a/packages/keeper/src/rendezvous-cache.ts
+++ b/packages/keeper/src/rendezvous-cache.ts
@@ -4,9 +4,9 @@
  * Caches the results of rendezvous hashing until the set of candidates changes.
  *
  * Every organisation is checked several times per second. Hashing each
- * organisation with each candidate on every check took a third of an idle keeper's
- * time. Clearing the whole cache when a candidate is added or removed costs one
- * round of hashes, and hosts change far less often than checks run.
+ * organisation with each candidate on every check took a third of an idle
+ * keeper's time. Clearing the whole cache when a candidate is added or removed
+ * costs one round of hashes, and hosts change far less often than checks run.
  */
 export class RendezvousCache {
   private candidates = '';
--- a/packages/keeper/src/request-registry.ts
+++ b/packages/keeper/src/request-registry.ts
@@ -15,7 +15,9 @@
   Settled = 'settled',
 }
 
-/** A request, from its registration until it is evicted after it was settled. */
+/**
+ * A request, from its registration until it is evicted after it was settled.
+ */
 export interface TrackedRequest {
   readonly requestId: string;
   readonly organisation: string;
@@ -24,23 +26,33 @@
   readonly boundTokens: number;
   readonly caller: string;
   attempt: AttemptReference;
-  /** Incarnation of the router that runs the request, or was the last to run it. */
+  /**
+   * Incarnation of the router that runs the request, or was the last to run it.
+   */
   router: string;
   phase: RequestPhase;
   grantId: string;
-  /** Time at which the phase was entered, in milliseconds of this process's monotonic clock. */
+  /**
+   * Time at which the phase was entered, in milliseconds of this process's
+   * monotonic clock.
+   */
   phaseEnteredAt: number;
   bill: Bill | undefined;
 }
 
-/** Maximum number of settled requests kept, which limits memory during a burst. */
+/**
+ * Maximum number of settled requests kept, which limits memory during a burst.
+ */
 const MAXIMUM_SETTLED_REQUESTS = 20_000;
 
 /** The requests that this keeper tracks as a holder, of all organisations. */
 export class RequestRegistry {
   private readonly requests = new Map<string, TrackedRequest>();
   private readonly settledOrder: string[] = [];
-  /** Requests whose claim was won through this keeper and that were never dispatched. */
+  /**
+   * Requests whose claim was won through this keeper and that were never
+   * dispatched.
+   */
   private readonly unusedClaims = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
@@ -68,7 +80,10 @@
     return tracked;
   }
 
-  /** Starts to track the request of a reservation that was inherited from a lost holder. */
+  /**
+   * Starts to track the request of a reservation that was inherited from a lost
+   * holder.
+   */
   addInherited(
     organisation: string,
     grantId: string,
@@ -118,7 +133,9 @@
     this.requests.delete(requestId);
   }
 
-  /** Records that the claim of a request was won but the request did not run. */
+  /**
+   * Records that the claim of a request was won but the request did not run.
+   */
   addUnusedClaim(requestId: string): void {
     this.unusedClaims.add(requestId);
   }
--- a/packages/keeper/src/request-service.ts
+++ b/packages/keeper/src/request-service.ts
@@ -23,17 +23,23 @@
   type TrackedRequest,
 } from './request-registry.js';
 
-/** How long a request waits at most for tokens or for a witness. */
+/** Maximum time that a request waits for tokens or for a witness. */
 const RESERVE_TIMEOUT_MILLISECONDS = 2_000;
 /**
- * How long a request waits at most for a grant that is being reclaimed. With the
- * default settings, a lost holder's grant is reclaimed within about this time.
+ * Maximum time that a request waits for a grant that is being reclaimed. With
+ * the default settings, a lost holder's grant is reclaimed within about this
+ * time.
  */
 const RECLAIM_TIMEOUT_MILLISECONDS = 5_000;
-/** Delay after which a router may retry a request that was answered `UNAVAILABLE`. */
+/**
+ * Delay after which a router may retry a request that was answered
+ * `UNAVAILABLE`.
+ */
 const UNAVAILABLE_RETRY_DELAY_MILLISECONDS = 1_000;
 
-/** Registers requests and reserves their bounds; releases abandoned requests. */
+/**
+ * Registers requests and reserves their bounds; releases abandoned requests.
+ */
 export class RequestService {
   constructor(
     private readonly membership: MembershipTable,
@@ -46,8 +52,8 @@
   ) {}
 
   /**
-   * Registers a request and reserves its bound. A request that is already known is
-   * joined, resumed or refused, depending on its phase.
+   * Registers a request and reserves its bound. A request that is already known
+   * is joined, resumed or refused, depending on its phase.
    */
   async begin(begin: BeginRequest, router: string): Promise<BeginAnswer> {
     const known = this.registry.get(begin.requestId);
@@ -85,9 +91,9 @@
   }
 
   /**
-   * Releases the witnessed reservations of begins whose answers were lost, for the
-   * case that the holder is lost too. The callers of these requests were told that
-   * nothing ran, so they must not be billed.
+   * Releases the witnessed reservations of begins whose answers were lost, for
+   * the case that the holder is lost too. The callers of these requests were
+   * told that nothing ran, so they must not be billed.
    */
   releaseLostBegins(message: AbandonRequest, router: string): void {
     const {requestId, lostBegins} = message;
@@ -97,10 +103,10 @@
   /**
    * Releases a request that was never dispatched.
    *
-   * Messages of other routers are ignored. After a "not run" answer, a caller may
-   * retry at another router before the abandon message of the first router arrives.
-   * That message must not release the reservation of the running request, whose
-   * bill would then have no reservation.
+   * Messages of other routers are ignored. After a "not run" answer, a caller
+   * may retry at another router before the abandon message of the first router
+   * arrives. That message must not release the reservation of the running
+   * request, whose bill would then have no reservation.
    */
   async abandon(message: AbandonRequest, router: string): Promise<void> {
     const request = this.registry.get(message.requestId);
@@ -108,8 +114,8 @@
       return;
     }
     this.registry.remove(message.requestId);
-    // While the request is reserving, its claim may not be decided yet and another
-    // router may still win it.
+    // While the request is reserving, its claim may not be decided yet and
+    // another router may still win it.
     if (!request.idempotent && request.phase !== RequestPhase.Reserving) {
       this.registry.addUnusedClaim(message.requestId);
     }
@@ -244,9 +250,10 @@
   }
 
   /**
-   * Whether a grant of an unreachable holder that covers the bound will be reclaimed
-   * by its witness. After a host was killed, most of a budget can be in such a grant
-   * for some seconds, and requests should not be refused as if it were spent.
+   * Whether a witness is expected to reclaim a grant that covers the bound from
+   * an unreachable holder. After a host was killed, most of a budget can be in
+   * such a grant for some seconds, and a request must not be refused as if that
+   * budget were spent.
    */
   private isReclaimExpected({
     organisation,
--- a/packages/keeper/src/router-sessions.ts
+++ b/packages/keeper/src/router-sessions.ts
@@ -152,7 +152,8 @@
     }
     const value = await this.requests.begin(begin, router);
     if (!session.open && value.verdict === BeginVerdict.RESERVED) {
-      // The router did not get the answer, so it can't have dispatched the request.
+      // The router did not get the answer, so it can't have dispatched the
+      // request.
       await this.requests.abandon(
         create(AbandonRequestSchema, {
           requestId: begin.requestId,
@@ -194,7 +195,10 @@
     }
   }
 
-  /** Marks the running requests of a lost router as orphaned, to wait for a retry of the caller. */
+  /**
+   * Marks the running requests of a lost router as orphaned, to wait for a
+   * retry of the caller.
+   */
   private orphanRequests(router: string): void {
     for (const request of this.registry.unsettledOfRouter(router)) {
       if (request.phase === RequestPhase.Running) {
--- a/packages/keeper/src/settlement-service.ts
+++ b/packages/keeper/src/settlement-service.ts
@@ -18,8 +18,8 @@
   ) {}
 
   /**
-   * Settles a request. Resolves once the bill is stored on a second host or on the
-   * log, so that the router may drop it.
+   * Settles a request. Resolves once the bill is stored on a second host or on
+   * the log, so that the router may drop it.
    */
   async settle(message: SettleRequest): Promise<void> {
     const bill = clone(BillSchema, message.bill ?? create(BillSchema));
@@ -28,7 +28,9 @@
     await this.settleBill(message.organisation, bill);
   }
 
-  /** Settles a request with a bill from its router or from the orphan settler. */
+  /**
+   * Settles a request with a bill from its router or from the orphan settler.
+   */
   async settleBill(organisation: string, bill: Bill): Promise<void> {
     const request = this.registry.get(bill.requestId);
     const holding = this.grants.holding(organisation, bill.grantId);
@@ -38,8 +40,9 @@
         this.registry.settle(request, bill);
       }
       if (holding === undefined) {
-        // The grant belongs to another holder or was reclaimed. The fold contains
-        // the inherited reservations, so the bill only has to be on the log.
+        // The grant belongs to another holder or was reclaimed. The fold
+        // contains the inherited reservations, so the bill only has to be on
+        // the log.
         await this.appender.submit(billEntry(organisation, bill));
       }
       return;
--- a/packages/keeper/src/stream-follower.ts
+++ b/packages/keeper/src/stream-follower.ts
@@ -10,21 +10,31 @@
 import type {RelayReader} from './relay-reader.js';
 import type {StreamReplica} from './stream-replica.js';
 
-/** Maximum number of records per read; folding larger reads would block the process. */
+/**
+ * Maximum number of records per read; folding larger reads would block the
+ * process.
+ */
 const RECORDS_PER_READ = 500;
 /**
- * How long the platform may hold a read open if there are no new records. Shorter
- * reads cost more: each takes about 1.6 ms of processor time, and every stream has
- * one open. With longer reads, an outage without an error is detected later, as it
- * shows only when a read is overdue.
+ * Maximum time that the platform holds a read open without new records.
+ * Shorter reads cost more: each takes about 1.6 ms of processor time, and every
+ * stream has one open. With longer reads, an outage without an error is
+ * detected later, as it shows only when a read is overdue.
  */
 const LONG_POLL_TIMEOUT_MILLISECONDS = 2_000;
-/** Delay between two attempts while neither the platform nor a relay is available. */
+/**
+ * Delay between two attempts while neither the platform nor a relay is
+ * available.
+ */
 const RETRY_DELAY_MILLISECONDS = 250;
-/** How long a relay is used before the next attempt to read the log directly. */
+/**
+ * How long a relay is used before the next attempt to read the log directly.
+ */
 const RELAY_DURATION_MILLISECONDS = 2_000;
 
-/** Follows one stream in a single task, by reading the log or a peer's relay. */
+/**
+ * Follows one stream in a single task, by reading the log or a peer's relay.
+ */
 export class StreamFollower {
   constructor(
     private readonly replica: StreamReplica,
@@ -52,9 +62,9 @@
   }
 
   private async readLog(signal: AbortSignal): Promise<void> {
-    // Before the replica has caught up, and after each outage, decisions must not
-    // use it. The first read must then return at once, without waiting for a new
-    // record.
+    // Before the replica has caught up, and after each outage, decisions must
+    // not use it. The first read must then return at once, without waiting for
+    // a new record.
     const current = this.health.isCurrent(this.replica.stream);
     const page = await this.readPage(
       this.replica.nextOffset,
@@ -89,9 +99,10 @@
   }
 
   /**
-   * Restores the replica after the next records have expired, from the first valid
-   * checkpoint that covers them. Without such a checkpoint nothing is folded, since
-   * after a gap the verdicts of this replica would differ from those of others.
+   * Restores the replica after the next records have expired, from the first
+   * valid checkpoint that covers them. Without such a checkpoint nothing is
+   * folded, since after a gap the verdicts of this replica would differ from
+   * those of others.
    */
   private async restore(
     firstOffset: number,
--- a/packages/keeper/src/stream-replica.ts
+++ b/packages/keeper/src/stream-replica.ts
@@ -15,8 +15,10 @@
   /**
    * Replaces the state by that of a checkpoint record.
    *
-   * @param minimumOffset The checkpoint must cover all records below this offset.
-   * @returns False if the record is not a valid checkpoint that covers these records.
+   * @param minimumOffset The checkpoint must cover all records below this
+   * offset.
+   * @returns False if the record is not a valid checkpoint that covers these
+   * records.
    */
   abstract restore(payload: Uint8Array, minimumOffset: number): boolean;
 
@@ -35,7 +37,9 @@
     this.notifyWaiters();
   }
 
-  /** Resolves after the next record was folded, or when the signal is aborted. */
+  /**
+   * Resolves after the next record was folded, or when the signal is aborted.
+   */
   nextRecord(signal: AbortSignal): Promise<void> {
     if (signal.aborted) {
       return Promise.resolve();
--- a/packages/keeper/src/transfer-service.ts
+++ b/packages/keeper/src/transfer-service.ts
@@ -21,30 +21,37 @@
 import {Acknowledgement} from './witness-link.js';
 import type {PeerClients} from './peer-clients.js';
 
-/** A holder that transfers tokens keeps enough for its own demand during this time. */
+/**
+ * A holder that transfers tokens keeps enough for its own demand during this
+ * time.
+ */
 const RETAINED_DEMAND_SECONDS = 10;
 /**
- * Multiple of the waiting bound that is requested first, to need fewer transfers.
- * If no peer can transfer this much, the bound itself is requested.
+ * Multiple of the waiting bound that is requested first, to need fewer
+ * transfers. If no peer can transfer this much, the bound itself is requested.
  */
 const PREFERRED_BOUNDS = 8;
-/** Minimum interval between two rounds of transfer requests for one organisation. */
+/**
+ * Minimum interval between two rounds of transfer requests for one
+ * organisation.
+ */
 const REQUEST_INTERVAL_MILLISECONDS = 250;
 /**
- * Timeout of one transfer request. Tokens that a peer has debited are stranded if
- * neither its answer nor its log entry arrives.
+ * Timeout of one transfer request. Tokens that a peer has debited are stranded
+ * if neither its answer nor its log entry arrives.
  */
 const REQUEST_TIMEOUT_MILLISECONDS = 1_500;
 /** Maximum number of completed transfers kept to answer repeated requests. */
 const MAXIMUM_COMPLETED_TRANSFERS = 10_000;
 
 /**
- * Transfers tokens between holders that can reach each other, without the platform.
+ * Transfers tokens between holders that can reach each other, without the
+ * platform.
  *
- * The sending holder debits its grant first, and answers only after its witness has
- * acknowledged the change. If the answer is lost, the request is repeated with the
- * same identifier. A message that is lost permanently can strand tokens, but no
- * lost or repeated message can create tokens.
+ * The sending holder debits its grant first, and answers only after its witness
+ * has acknowledged the change. If the answer is lost, the request is repeated
+ * with the same identifier. A message that is lost permanently can strand
+ * tokens, but no lost or repeated message can create tokens.
  */
 export class TransferService {
   private readonly completedTransfers = new Map<string, Transfer>();
@@ -62,7 +69,10 @@
     private readonly eventLog: EventLog,
   ) {}
 
-  /** Handles a peer's transfer request; the answer has no transfer if it can't be met. */
+  /**
+   * Handles a peer's transfer request; the answer has no transfer if it can't
+   * be met.
+   */
   async handleRequest(
     request: TransferGrantRequest,
   ): Promise<TransferGrantAnswer> {
@@ -76,8 +86,8 @@
 
   /**
    * Requests tokens from peers, one after the other, for an organisation with
-   * waiting requests. Does nothing if the last round is still running or was less
-   * than the minimum interval ago.
+   * waiting requests. Does nothing if the last round is still running or was
+   * less than the minimum interval ago.
    */
   async requestTokens(
     grants: OrganisationGrants,
@@ -168,7 +178,10 @@
     }
   }
 
-  /** Returns the reachable peers with tokens, ordered by their unbilled tokens on the log. */
+  /**
+   * Returns the reachable peers with tokens, ordered by their unbilled tokens
+   * on the log.
+   */
   private candidates(organisation: string): readonly ProcessIdentity[] {
     const tokensByHolder = new Map<string, number>();
     const ledger = this.replicas.ledgerOf(organisation);
--- a/packages/keeper/src/witness-link.ts
+++ b/packages/keeper/src/witness-link.ts
@@ -15,11 +15,16 @@
 export enum Acknowledgement {
   /** The witness has stored the change. */
   Applied = 'applied',
-  /** The witness has fenced the grant; requests must not be dispatched under it. */
+  /**
+   * The witness has fenced the grant; requests must not be dispatched under it.
+   */
   Fenced = 'fenced',
   /** The witness has no book of the grant, and needs the full book first. */
   UnknownGrant = 'unknown-grant',
-  /** There was no acknowledgement; the change must not be relied on for a dispatch. */
+  /**
+   * There was no acknowledgement; the change must not be relied on for a
+   * dispatch.
+   */
   Unconfirmed = 'unconfirmed',
 }
 
@@ -37,8 +42,8 @@
 
 /**
  * The stream from this keeper, as a holder, to one witness. A new stream starts
- * with the full book of each grant, so it does not matter which of the last changes
- * on the old stream have arrived.
+ * with the full book of each grant, so it does not matter which of the last
+ * changes on the old stream have arrived.
  */
 export class WitnessLink {
   private sequence = 0;
@@ -65,14 +70,14 @@
   }
 
   /**
-   * Sends one change; changes of the same turn of the event loop share a message.
-   * If the stream is not open, waits for it up to the timeout.
+   * Sends one change; changes of the same turn of the event loop share a
+   * message. If the stream is not open, waits for it up to the timeout.
    */
   async send(change: BookChange): Promise<Acknowledgement> {
     if (!this.connected && !(await this.waitUntilConnected())) {
       return Acknowledgement.Unconfirmed;
     }
-    const {promise, resolve} = withResolver();
+    const {promise, resolve} = acknowledgementResolver();
     this.batch.push(change);
     this.unacknowledged.push({
       sequence: this.sequence + 1,
@@ -87,7 +92,10 @@
     return this.withTimeout(promise);
   }
 
-  /** Keeps the stream open, and reconnects after failures, until `close` is called. */
+  /**
+   * Keeps the stream open, and reconnects after failures, until `close` is
+   * called.
+   */
   async run(): Promise<void> {
     const {signal} = this.stopping;
     while (!signal.aborted) {
@@ -104,7 +112,10 @@
     }
   }
 
-  /** Ends the stream; changes without an acknowledgement resolve as `Unconfirmed`. */
+  /**
+   * Ends the stream; changes without an acknowledgement resolve as
+   * `Unconfirmed`.
+   */
   close(): void {
     this.stopping.abort();
     this.disconnect();
@@ -124,7 +135,10 @@
     }
   }
 
-  /** @returns False if the peer is a different incarnation than the expected witness. */
+  /**
+   * @returns False if the peer is a different incarnation than the expected
+   * witness.
+   */
   private handleMessage(message: WitnessMessage): boolean {
     if (message.kind.case === 'welcome') {
       if (message.kind.value.incarnation !== this.witness) {
@@ -142,13 +156,13 @@
       const {sequence, fencedGrants, unknownGrants} = message.kind.value;
       const fenced = new Set(fencedGrants);
       const unknown = new Set(unknownGrants);
-      const done = this.unacknowledged.filter(
+      const acknowledged = this.unacknowledged.filter(
         item => item.sequence <= sequence,
       );
       this.unacknowledged = this.unacknowledged.filter(
         item => item.sequence > sequence,
       );
-      for (const item of done) {
+      for (const item of acknowledged) {
         item.resolve(
           unknown.has(item.grantId)
             ? Acknowledgement.UnknownGrant
@@ -182,15 +196,15 @@
     this.queue?.close();
     this.queue = undefined;
     this.batch = [];
-    const lost = this.unacknowledged;
+    const unconfirmed = this.unacknowledged;
     this.unacknowledged = [];
-    lost.forEach(item => {
+    unconfirmed.forEach(item => {
       item.resolve(Acknowledgement.Unconfirmed);
     });
   }
 
   private async waitUntilConnected(): Promise<boolean> {
-    const {promise, resolve} = withResolver();
+    const {promise, resolve} = acknowledgementResolver();
     const finish = () => {
       resolve(Acknowledgement.Applied);
     };
@@ -201,9 +215,10 @@
   }
 
   /**
-   * Limits the wait for an acknowledgement. A peer that is paused, or partitioned
-   * without a connection reset, never answers. After the timeout the change counts
-   * as unconfirmed, and the request is refused instead of dispatched.
+   * Limits the wait for an acknowledgement. A peer that is paused, or
+   * partitioned without a connection reset, never answers. After the timeout
+   * the change counts as unconfirmed, and the request is refused instead of
+   * dispatched.
    */
   private async withTimeout(
     promise: Promise<Acknowledgement>,
@@ -212,13 +227,13 @@
     const timeout = this.clock
       .sleep(this.acknowledgementTimeoutMilliseconds, timeoutController.signal)
       .then(() => Acknowledgement.Unconfirmed);
-    const first = await Promise.race([promise, timeout]);
+    const acknowledgement = await Promise.race([promise, timeout]);
     timeoutController.abort();
-    return first;
+    return acknowledgement;
   }
 }
 
-function withResolver(): {
+function acknowledgementResolver(): {
   promise: Promise<Acknowledgement>;
   resolve: (acknowledgement: Acknowledgement) => void;
 } {
--- a/packages/keeper/src/witness-links.ts
+++ b/packages/keeper/src/witness-links.ts
@@ -24,7 +24,10 @@
     this.snapshotSource = source;
   }
 
-  /** Returns the link to a witness, creating it on first use; undefined if the witness is unknown. */
+  /**
+   * Returns the link to a witness, creating it on first use; undefined if the
+   * witness is unknown.
+   */
   linkTo(witness: string): WitnessLink | undefined {
     const known = this.links.get(witness);
     if (known !== undefined) {
--- a/packages/keeper/src/witness-service.ts
+++ b/packages/keeper/src/witness-service.ts
@@ -8,7 +8,10 @@
   type WitnessMessage,
 } from '@wisteriadeal/schema';
 
-/** Applies changes of other keepers' books to the witness's book, and acknowledges them. */
+/**
+ * Applies changes of other keepers' books to the witness's book, and
+ * acknowledges them.
+ */
 export class WitnessService {
   constructor(
     private readonly self: ProcessIdentity,
@@ -36,8 +39,9 @@
     for (const change of batch.changes) {
       const result = this.book.apply(change);
       if (result !== BookChangeResult.Applied) {
-        // Unknown grants are listed here as well: holders of an older version read
-        // only this list, and treat a grant that is not on it as acknowledged.
+        // Unknown grants are listed here as well: holders of an older version
+        // read only this list, and treat a grant that is not on it as
+        // acknowledged.
         fencedGrants.add(change.grantId);
       }
       if (result === BookChangeResult.Unknown) {
