--- a/packages/keeper/src/test/fold-listener_test.ts
+++ b/packages/keeper/src/test/fold-listener_test.ts
@@ -19,7 +19,7 @@
 const OTHER = 'second';
 const GRANT = 'g1';
 
-const holdsNothing = {holding: () => undefined} as unknown as GrantManager;
+const holdsNoGrants = {holding: () => undefined} as unknown as GrantManager;
 
 function openBook(book: WitnessBook): void {
   const value = {
@@ -43,7 +43,7 @@
     case: 'witnessChange',
     value: {grantId: GRANT, from, to},
   });
-  listener.folded({
+  listener.entryFolded({
     stream: 'ledger-0',
     offset: 0,
     writer: 'holder',
@@ -58,18 +58,20 @@
 }
 
 describe('FoldListener', () => {
-  it('keeps the book of a grant whose holder comes back to this witness', () => {
-    // Guards against a reclaim that gives tokens to others which requests still spend.
+  it('keeps the book of a grant whose holder changes back to this witness', () => {
+    // Guards against a reclaim that frees tokens which running requests still
+    // spend.
     const book = new WitnessBook();
     const listener = new FoldListener(
       SELF,
-      holdsNothing,
+      holdsNoGrants,
       book,
       new RequestRegistry(new FakeClock()),
       EventLog.create(LogLevel.ERROR, {}),
     );
     openBook(book);
-    // The holder has sent the book already; this witness reads the log late.
+    // The holder has already sent the book when this witness reads both
+    // changes.
     witnessChanged(listener, SELF, OTHER);
     witnessChanged(listener, OTHER, SELF);
     book.fence(GRANT);
--- a/packages/keeper/src/test/keeper_test.ts
+++ b/packages/keeper/src/test/keeper_test.ts
@@ -1,7 +1,7 @@
 import {BeginVerdict} from '@wisteriadeal/schema';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {Fleet, until} from './fleet.js';
+import {Fleet, waitUntil} from './fleet.js';
 
 describe('Keeper', () => {
   let fleet: Fleet;
@@ -23,14 +23,14 @@
     expect(answer.verdict).toBe(BeginVerdict.RESERVED);
     expect(answer.witness).not.toBe('');
     await router.settle(answer, 40);
-    await until(() => fleet.ledger().totals('org').billedTokens > 0);
+    await waitUntil(() => fleet.ledger().totals('org').billedTokens > 0);
     expect(fleet.ledger().totals('org').billedTokens).toBe(40);
     expect(
       router.received.some(({kind}) => kind.case === 'configuration'),
     ).toBe(true);
   });
 
-  it('refuses what the whole budget does not cover', async () => {
+  it('refuses a request whose bound exceeds the whole budget', async () => {
     await fleet.add('a');
     await fleet.add('a');
     const router = fleet.router(await fleet.holder('a'));
--- a/packages/keeper/src/test/membership-table_test.ts
+++ b/packages/keeper/src/test/membership-table_test.ts
@@ -25,45 +25,47 @@
   });
 }
 
-// Guards against a grant that nobody can take back, as its holder was held up.
-it('names a witness that is silent for a moment, and none after its patience', async () => {
+// Guards against a grant that can't be reclaimed because its holder was stalled
+// and gave up its witness when all peers seemed unreachable.
+it('keeps an unreachable witness until the witness timeout', async () => {
   const clock = new FakeClock();
-  const patience = 3 * HEARTBEAT_LIMIT_MILLISECONDS;
+  const witnessTimeout = 3 * HEARTBEAT_LIMIT_MILLISECONDS;
   const table = new MembershipTable(
     identity('self'),
     HEARTBEAT_LIMIT_MILLISECONDS,
     clock,
-    patience,
+    witnessTimeout,
   );
   expect(table.witnessFor('org')).toBeUndefined();
-  table.heard(gossipOf('k1', []));
+  table.recordHeartbeat(gossipOf('k1', []));
   expect(table.witnessFor('org')).toBe('k1');
-  await clock.advance(patience);
+  await clock.advance(witnessTimeout);
   expect(table.reachablePeers).toEqual([]);
   expect(table.witnessFor('org')).toBe('k1');
-  table.heard(gossipOf('k2', []));
+  table.recordHeartbeat(gossipOf('k2', []));
   expect(table.witnessFor('org')).toBe('k2');
-  await clock.advance(patience + 1);
+  await clock.advance(witnessTimeout + 1);
   expect(table.witnessFor('org')).toBeUndefined();
 });
 
-// Callers see routers that spend their time on control. Each router has a session
-// with every keeper, so several keepers name it, and the one heard from last
-// moved it to the end of the list: every heartbeat looked like a change and was
-// sent to all routers. What is known is the same, so nothing may be sent.
-it('tells routers nothing when peers repeat themselves in another order', () => {
+// Guards against routers that spend their time on control messages. Each router
+// has a session with every keeper, so several keepers list it, and each
+// heartbeat moved its routers to the end of the membership. Every heartbeat
+// then looked like a change and was sent to all routers, although the members
+// were the same.
+it('does not notify listeners when heartbeats list the same routers in another order', () => {
   const table = new MembershipTable(
     identity('self'),
     HEARTBEAT_LIMIT_MILLISECONDS,
     new FakeClock(),
   );
-  table.heard(gossipOf('k1', ['r1', 'r2']));
-  table.heard(gossipOf('k2', ['r2', 'r1']));
+  table.recordHeartbeat(gossipOf('k1', ['r1', 'r2']));
+  table.recordHeartbeat(gossipOf('k2', ['r2', 'r1']));
   let changes = 0;
-  table.listen(() => {
+  table.addListener(() => {
     changes++;
   });
-  table.heard(gossipOf('k1', ['r2', 'r1']));
-  table.heard(gossipOf('k2', ['r1', 'r2']));
+  table.recordHeartbeat(gossipOf('k1', ['r2', 'r1']));
+  table.recordHeartbeat(gossipOf('k2', ['r1', 'r2']));
   expect(changes).toBe(0);
 });
--- a/packages/keeper/src/test/reclaimer_test.ts
+++ b/packages/keeper/src/test/reclaimer_test.ts
@@ -3,22 +3,22 @@
 import {LogLevel, type LedgerEntry} from '@wisteriadeal/schema';
 import {describe, expect, it} from 'vitest';
 
-import type {LedgerAppender, OwnVerdict} from '../ledger-appender.js';
+import type {LedgerAppender, SubmittedVerdict} from '../ledger-appender.js';
 import type {LedgerReplicas} from '../ledger-replicas.js';
 import type {MembershipTable} from '../membership-table.js';
 import {Reclaimer} from '../reclaimer.js';
 
 const SELF = 'witness';
 const GRANT = 'g1';
-const PATIENCE_MILLISECONDS = 1_000;
+const HOLDER_TIMEOUT_MILLISECONDS = 1_000;
 
-const holderIsSilent = {
+const membershipWithLostHolder = {
   self: {incarnation: SELF},
-  silenceMilliseconds: () => PATIENCE_MILLISECONDS + 1,
+  millisecondsSinceHeartbeat: () => HOLDER_TIMEOUT_MILLISECONDS + 1,
 } as unknown as MembershipTable;
 
-/** A log whose one grant names this witness, as the keeper has read it. */
-const namesSelf = {
+/** Replicas with one grant that has this keeper as its witness. */
+const replicasNamingSelf = {
   all: [
     {
       ledger: {
@@ -31,11 +31,11 @@
   ],
 } as unknown as LedgerReplicas;
 
-/** A log on which another witness is in force already. */
+/** An appender of a log on which another witness is already in force. */
 class RefusingAppender {
   readonly submitted: LedgerEntry[] = [];
 
-  submit(entry: LedgerEntry): Promise<OwnVerdict> {
+  submit(entry: LedgerEntry): Promise<SubmittedVerdict> {
     this.submitted.push(entry);
     const verdict = {
       entryId: entry.entryId,
@@ -43,21 +43,22 @@
       kind: VerdictKind.Refused,
       reason: RefusalReason.NotWitness,
     };
-    return Promise.resolve({verdict, uncertain: false});
+    return Promise.resolve({verdict, mayDuplicateItself: false});
   }
 }
 
 describe('Reclaimer', () => {
-  it('lifts its fence when the log has named another witness before', async () => {
-    // Guards against a grant that neither its holder nor a later witness gets back.
+  it('lifts its fence when the log refuses the reclaim because of a new witness', async () => {
+    // Guards against a grant that neither its holder can use nor a witness
+    // reclaim.
     const book = new WitnessBook();
     const appender = new RefusingAppender();
     const reclaimer = new Reclaimer(
-      holderIsSilent,
-      namesSelf,
+      membershipWithLostHolder,
+      replicasNamingSelf,
       book,
       appender as unknown as LedgerAppender,
-      PATIENCE_MILLISECONDS,
+      HOLDER_TIMEOUT_MILLISECONDS,
       () => 0,
       EventLog.create(LogLevel.ERROR, {}),
     );
