--- a/packages/budgets/src/budget-checkpoint.ts
+++ b/packages/budgets/src/budget-checkpoint.ts
@@ -7,10 +7,10 @@
 import {BudgetFold, type FoldedHolder} from './budget-fold.js';
 
 /**
- * The fold's whole state, for a reader that comes when the platform has dropped
- * the records that led to it.
+ * Captures the fold's complete state, for readers that start after the platform has
+ * dropped the earlier records.
  */
-export function checkpointOf(fold: BudgetFold): BudgetCheckpoint {
+export function createCheckpoint(fold: BudgetFold): BudgetCheckpoint {
   return create(BudgetCheckpointSchema, {
     offset: fold.nextOffset,
     organisations: [...fold.organisations].map(([organisation, budget]) => ({
@@ -33,8 +33,8 @@
   });
 }
 
-/** A fold that goes on where the checkpoint was taken. */
-export function foldFrom(checkpoint: BudgetCheckpoint): BudgetFold {
+/** Restores a fold that continues at the checkpoint's offset. */
+export function foldFromCheckpoint(checkpoint: BudgetCheckpoint): BudgetFold {
   const fold = new BudgetFold(checkpoint.offset);
   for (const budget of checkpoint.organisations) {
     fold.organisations.set(budget.organisation, {
--- a/packages/budgets/src/budget-fold.ts
+++ b/packages/budgets/src/budget-fold.ts
@@ -22,18 +22,21 @@
 export interface FoldedHolder {
   readonly incarnation: string;
   readonly host: string;
-  /** Where it is asked for loans. */
+  /** `IP:port` of its loan service. */
   readonly address: string;
   lastSequence: number;
-  /** Changed by `BudgetFold.setGrant` alone. */
+  /** Grants by organisation. Modified only by `BudgetFold.setGrant`. */
   readonly grants: Map<string, FoldedGrant>;
 }
 
-/** What one process holds of one organisation's budget. */
+/** Tokens of one organisation's budget that one process holds. */
 export interface FoldedGrant {
-  /** Granted or borrowed, and not returned or lent; what was spent is part of it. */
+  /** Tokens granted or borrowed and not returned or lent, including those spent. */
   readonly outstanding: number;
-  /** What the process last said that it had in hand; no safety rests on it. */
+  /**
+   * Unspent tokens that the process last reported. The spending limit does not depend
+   * on it.
+   */
   readonly held: number;
 }
 
@@ -43,49 +46,52 @@
 export interface FoldedOrganisation {
   prepaid: number;
   configurationVersion: number;
-  /** Granted to processes that have ended, and not returned by them. */
+  /** Tokens granted to processes that have ended, and not returned by them. */
   closedCharge: number;
-  /** Sums over the grants of all holders; kept as they change. */
+  /** Sum of `outstanding` over all holders' grants, updated with each change. */
   outstanding: number;
+  /** Sum of `held` over all holders' grants, updated with each change. */
   held: number;
 }
 
 /**
- * A holder whose use asks for more than its even share gets at most this part of
- * what may still be held. Load: all of an organisation's callers come to one host.
+ * A holder whose use exceeds its even share gets at most one part in four of the tokens
+ * that may still be held. This happens when all of an organisation's callers use one
+ * host.
  */
-const BUSY_DIVISOR = 4;
+const HEADROOM_DIVISOR = 4;
 
 /**
- * A late copy of an ended process's first record must not open it again. Copies
- * come seconds late, so that some restarts of each host are enough.
+ * Number of closed incarnations that are kept. A delayed duplicate of an ended
+ * process's first record must not open it again. Duplicates arrive seconds late, so
+ * remembering a few restarts of each host is enough.
  */
-const REMEMBERED_CLOSED_INCARNATIONS = 4_096;
+const MAXIMUM_CLOSED_INCARNATIONS = 4_096;
 
 /**
- * Decides who holds what of each budget. It is deterministic: every process that
- * folds the same records has the same state, and a verdict is what the fold says,
- * never what an append answered.
+ * Computes each process's grants from the records of the budget log. The fold is
+ * deterministic: every process that folds the same records has the same state. A
+ * verdict is always taken from the fold, never from the answer to an append.
  *
- * Spend can't pass a budget: a grant comes only out of what is unallocated, a
- * process spends only what it was granted, and what an ended process had not
- * returned counts as spent.
+ * Spending cannot exceed a budget: grants are made only from unallocated tokens, a
+ * process spends only what it was granted, and tokens that an ended process had not
+ * returned count as spent.
  */
 export class BudgetFold {
   readonly organisations = new Map<string, FoldedOrganisation>();
   readonly holders = new Map<string, FoldedHolder>();
   readonly closedIncarnations = new Set<string>();
 
-  /** @param nextOffset Offset of the next record that it takes. */
+  /** @param nextOffset Offset of the next record to apply. */
   constructor(public nextOffset = 0) {}
 
   /**
-   * Takes the record at `nextOffset`.
+   * Applies the record at `nextOffset`.
    *
-   * @param record Undefined for bytes that are no budget record: they count as
-   *     an offset and change nothing.
-   * @returns The verdict where the record asked for a grant, and the loan where it
-   *     tells of one.
+   * @param record Undefined for bytes that are not a budget record: they advance the
+   *     offset and change nothing else.
+   * @returns The verdict for a grant request, the loan for a record of a loan, the
+   *     opening and the closed grants for a process's first record, else undefined.
    * @example
    * ```ts
    * const outcome = fold.apply(record);
@@ -98,7 +104,7 @@
     }
     const {change} = record;
     if (change.case === 'opened') {
-      return this.open(record, change.value);
+      return this.openHolder(record, change.value);
     }
     const holder = this.holders.get(record.incarnation);
     if (holder === undefined || record.sequence <= holder.lastSequence) {
@@ -106,23 +112,23 @@
     }
     holder.lastSequence = record.sequence;
     if (change.case === 'returned') {
-      this.takeBack(holder, change.value);
+      this.applyReturn(holder, change.value);
       return undefined;
     }
     if (change.case === 'lent') {
-      return this.lend(holder, change.value);
+      return this.applyLoan(holder, change.value);
     }
     return change.case === 'requested'
-      ? this.decide(holder, change.value)
+      ? this.applyGrantRequest(holder, change.value)
       : undefined;
   }
 
-  /** Whether records of this process still count. */
+  /** Whether the fold still accepts records of this process. */
   isOpen(incarnation: string): boolean {
     return this.holders.has(incarnation);
   }
 
-  /** The budget of one organisation; undefined before any record named it. */
+  /** The budget of one organisation; undefined before any record names it. */
   view(organisation: string): BudgetView | undefined {
     const budget = this.organisations.get(organisation);
     if (budget === undefined) {
@@ -133,15 +139,15 @@
     return {
       prepaid: budget.prepaid,
       unallocated,
-      rest: unallocated + held,
+      remaining: unallocated + held,
       spent: budget.prepaid - unallocated - held,
       holders: this.holders.size,
     };
   }
 
   /**
-   * Puts a holder's grant to what it is from now on. The sums are kept here, so that a
-   * view of a budget costs the same whatever the number of hosts.
+   * Replaces a holder's grant and updates the organisation's sums, so that the cost of
+   * `view` does not depend on the number of hosts.
    */
   setGrant(
     holder: FoldedHolder,
@@ -155,7 +161,7 @@
     holder.grants.set(organisation, grant);
   }
 
-  private open(
+  private openHolder(
     record: BudgetRecord,
     opened: HolderOpened,
   ): HolderOpening | undefined {
@@ -170,7 +176,7 @@
     const closed: ClosedGrant[] = [];
     for (const holder of this.holders.values()) {
       if (holder.host === host) {
-        closed.push(...this.close(holder));
+        closed.push(...this.closeHolder(holder));
       }
     }
     this.holders.set(incarnation, {
@@ -183,7 +189,7 @@
     return {kind: 'opening', incarnation, closed};
   }
 
-  private close(holder: FoldedHolder): readonly ClosedGrant[] {
+  private closeHolder(holder: FoldedHolder): readonly ClosedGrant[] {
     const closed: ClosedGrant[] = [];
     for (const [organisation, grant] of [...holder.grants]) {
       this.organisation(organisation).closedCharge += grant.outstanding;
@@ -199,14 +205,14 @@
     const [oldest] = this.closedIncarnations;
     if (
       oldest !== undefined &&
-      this.closedIncarnations.size > REMEMBERED_CLOSED_INCARNATIONS
+      this.closedIncarnations.size > MAXIMUM_CLOSED_INCARNATIONS
     ) {
       this.closedIncarnations.delete(oldest);
     }
     return closed;
   }
 
-  private takeBack(holder: FoldedHolder, returned: GrantReturned): void {
+  private applyReturn(holder: FoldedHolder, returned: GrantReturned): void {
     const grant = holder.grants.get(returned.organisation);
     if (grant === undefined || !isTokenAmount(returned.amount)) {
       return;
@@ -218,7 +224,7 @@
     });
   }
 
-  private lend(
+  private applyLoan(
     lender: FoldedHolder,
     lent: GrantLent,
   ): RecordedLoan | undefined {
@@ -250,20 +256,23 @@
     };
   }
 
-  private decide(holder: FoldedHolder, asked: GrantRequested): GrantVerdict {
-    const budget = this.organisation(asked.organisation);
+  private applyGrantRequest(
+    holder: FoldedHolder,
+    request: GrantRequested,
+  ): GrantVerdict {
+    const budget = this.organisation(request.organisation);
     if (
-      asked.configurationVersion > budget.configurationVersion &&
-      isTokenAmount(asked.prepaid)
+      request.configurationVersion > budget.configurationVersion &&
+      isTokenAmount(request.prepaid)
     ) {
-      budget.configurationVersion = asked.configurationVersion;
-      budget.prepaid = asked.prepaid;
+      budget.configurationVersion = request.configurationVersion;
+      budget.prepaid = request.prepaid;
     }
-    const {outstanding} = holder.grants.get(asked.organisation) ?? NO_GRANT;
-    const held = isTokenAmount(asked.held) ? asked.held : 0;
-    this.setGrant(holder, asked.organisation, {outstanding, held});
-    const granted = this.grantable(asked, held);
-    this.setGrant(holder, asked.organisation, {
+    const {outstanding} = holder.grants.get(request.organisation) ?? NO_GRANT;
+    const held = isTokenAmount(request.held) ? request.held : 0;
+    this.setGrant(holder, request.organisation, {outstanding, held});
+    const granted = this.grantableTokens(request, held);
+    this.setGrant(holder, request.organisation, {
       outstanding: outstanding + granted,
       held: held + granted,
     });
@@ -271,26 +280,26 @@
       kind: 'grant',
       incarnation: holder.incarnation,
       sequence: holder.lastSequence,
-      organisation: asked.organisation,
+      organisation: request.organisation,
       granted,
     };
   }
 
-  private grantable(asked: GrantRequested, held: number): number {
-    const view = this.view(asked.organisation);
+  private grantableTokens(request: GrantRequested, held: number): number {
+    const view = this.view(request.organisation);
     if (
       view === undefined ||
-      !isTokenAmount(asked.least) ||
-      !isTokenAmount(asked.wish) ||
-      view.unallocated < asked.least
+      !isTokenAmount(request.least) ||
+      !isTokenAmount(request.wish) ||
+      view.unallocated < request.least
     ) {
       return 0;
     }
-    const share = refillShare(view, held, asked.pooledPart);
-    if (share >= asked.least) {
-      return Math.max(0, Math.min(asked.wish, share));
+    const share = refillLimit(view, held, request.pooledPart);
+    if (share >= request.least) {
+      return Math.max(0, Math.min(request.wish, share));
     }
-    return asked.urgent ? asked.least : 0;
+    return request.urgent ? request.least : 0;
   }
 
   private organisation(name: string): FoldedOrganisation {
@@ -309,16 +318,16 @@
   }
 }
 
-/** What a holder may have without a request that waits for it. */
-function refillShare(
+/** Maximum tokens that a holder may be granted while no request waits for them. */
+function refillLimit(
   view: BudgetView,
   held: number,
-  askedPart: number,
+  requestedPart: number,
 ): number {
-  const part = askedPart > 0 && askedPart <= 1 ? askedPart : 0;
-  const heldByAll = view.rest - view.unallocated;
-  const room = Math.max(0, pooledTokens(view, part) - heldByAll);
-  const even = pooledShare(view, part) - held;
-  const share = Math.max(even, Math.floor(room / BUSY_DIVISOR));
-  return Math.min(share, room, view.unallocated);
+  const part = requestedPart > 0 && requestedPart <= 1 ? requestedPart : 0;
+  const totalHeld = view.remaining - view.unallocated;
+  const headroom = Math.max(0, pooledTokens(view, part) - totalHeld);
+  const evenShare = pooledShare(view, part) - held;
+  const share = Math.max(evenShare, Math.floor(headroom / HEADROOM_DIVISOR));
+  return Math.min(share, headroom, view.unallocated);
 }
--- a/packages/budgets/src/budget-view.ts
+++ b/packages/budgets/src/budget-view.ts
@@ -1,76 +1,81 @@
-/** What the fold knows of an organisation's budget at one offset. */
+/** An organisation's budget as of the fold's offset. All amounts are tokens. */
 export interface BudgetView {
-  /** Total of the newest configuration that any record named. */
+  /** Prepaid total from the newest configuration version in any record. */
   readonly prepaid: number;
-  /** Tokens that no process holds and that nobody has spent. */
+  /** Tokens neither held by a process nor spent. */
   readonly unallocated: number;
-  /** Tokens that are not known to be gone: unallocated, or held and unspent. */
-  readonly rest: number;
-  /** Tokens that are known to be gone: charged by living or ended processes. */
+  /** Tokens not known to be spent: unallocated, or held and unspent. */
+  readonly remaining: number;
+  /** Tokens known to be spent: charged by running or ended processes. */
   readonly spent: number;
-  /** Processes that hold grants or may ask for one. */
+  /** Number of processes that hold grants or may request one. */
   readonly holders: number;
 }
 
-/** How the fold answered a request for a grant. */
+/** The fold's decision on a grant request. */
 export interface GrantVerdict {
   readonly kind: 'grant';
   readonly incarnation: string;
   readonly sequence: number;
   readonly organisation: string;
-  /** 0 where it was denied. */
+  /** Tokens granted; 0 if the request was denied. */
   readonly granted: number;
 }
 
-/** A loan that the fold has taken off its lender and put to its borrower. */
+/** A loan that the fold has moved from its lender's grant to its borrower's. */
 export interface RecordedLoan {
   readonly kind: 'loan';
   /** Incarnation of the borrower. */
   readonly incarnation: string;
   readonly organisation: string;
-  /** The borrower's name for it. */
+  /** Identifier that the borrower assigned to the loan. */
   readonly loan: string;
+  /** Tokens lent. */
   readonly amount: number;
 }
 
-/** A grant of an ended process, which counts as spent from now on. */
+/** A grant of an ended process. It counts as spent once it is closed. */
 export interface ClosedGrant {
   readonly organisation: string;
-  /** Granted or borrowed, and not returned or lent. */
+  /** Tokens granted or borrowed, and not returned or lent. */
   readonly charged: number;
-  /** What of it the process last said that it had not spent. */
+  /** Tokens of the grant that the process last reported as unspent. */
   readonly lastHeld: number;
 }
 
-/** A process was opened; those that were open on its host are closed. */
+/** A process was opened, which closed any process still open on its host. */
 export interface HolderOpening {
   readonly kind: 'opening';
   readonly incarnation: string;
   readonly closed: readonly ClosedGrant[];
 }
 
-/** What a record says to one process. */
+/** Outcome of a record that concerns one process. */
 export type FoldOutcome = GrantVerdict | RecordedLoan | HolderOpening;
 
 /**
- * What all holders together keep in hand, unless requests wait. It shrinks faster
- * than the rest does. Load: the store is away for 9 s at any time of a day, and at
- * its end all hosts die at once. Harm of a fixed part: early it is too little, and
- * callers are refused while the rest lies in the store; late it is too much, and what
- * the dead held leaves too little for those who come afterwards.
+ * Tokens that all holders together may hold while no requests wait. The limit shrinks
+ * faster than the remaining budget, because the store can be unavailable for 9 s at any
+ * time of the day and all hosts can fail at once at the end of the day. A fixed part of
+ * the budget would be too small early in the day, when callers would be refused while
+ * the remaining tokens are in the store. It would be too large late in the day, when
+ * the tokens of the failed hosts would leave too few for later callers.
  *
- * @param pooledPart The part of a whole budget that may be in hand, above 0, at
- *     most 1; of half a budget an eighth of it.
+ * @param pooledPart Part of a full budget that may be held, above 0 and at most 1. When
+ *     half of the budget remains, the limit is an eighth of its full value.
+ * @returns Tokens, 0 for a budget that is used up or has no prepaid tokens.
  */
 export function pooledTokens(view: BudgetView, pooledPart: number): number {
-  const {rest, prepaid} = view;
-  if (rest <= 0 || prepaid <= 0) {
+  const {remaining, prepaid} = view;
+  if (remaining <= 0 || prepaid <= 0) {
     return 0;
   }
-  return Math.floor(pooledPart * rest * Math.min(1, rest / prepaid) ** 2);
+  return Math.floor(
+    pooledPart * remaining * Math.min(1, remaining / prepaid) ** 2,
+  );
 }
 
-/** A holder's even share of that. */
+/** One holder's even share of `pooledTokens`, in tokens. */
 export function pooledShare(view: BudgetView, pooledPart: number): number {
   return Math.floor(pooledTokens(view, pooledPart) / view.holders);
 }
--- a/packages/budgets/src/grant-account.ts
+++ b/packages/budgets/src/grant-account.ts
@@ -1,116 +1,127 @@
 import {RateEstimate} from '@wisteriadeal/ledger';
 
 /**
- * What was reserved so long ago counts half. Load: an organisation sends seven times
- * its usual for some seconds, then the store goes away. Harm: a longer mean holds too
- * little by then; a shorter one takes one long prompt for a trend.
+ * Half-life of reservations in the usage rate. An organisation may send seven times its
+ * usual load for some seconds before the store becomes unavailable. With a longer
+ * half-life the host holds too few tokens by then; with a shorter one a single long
+ * prompt is mistaken for a trend.
  */
-const USE_HALF_LIFE_MILLISECONDS = 7_000;
-/** Requests over which the usual bound is averaged; sizes differ twentyfold. */
-const MEAN_REQUESTS = 8;
+const USAGE_HALF_LIFE_MILLISECONDS = 7_000;
+/** Number of requests over which the bound is averaged; sizes vary twentyfold. */
+const BOUND_SMOOTHING_REQUESTS = 8;
 
 /**
- * A process's own account of what it holds of one organisation's budget.
+ * A process's account of the tokens that it holds of one organisation's budget.
  *
- * `granted + borrowed = available + reserved + spent + returned + lent` at all times; tokens are
- * taken off `available` before anything is delivered, sent or returned. Promised
- * tokens are no part of that sum.
+ * `granted + borrowed = available + reserved + spent + returned + lent` holds at all
+ * times. Tokens are deducted from `available` before anything is delivered, sent or
+ * returned. Promised tokens are not part of that sum.
  */
 export class GrantAccount {
   private availableTokens = 0;
   private promisedTokens = 0;
   private reservedTokens = 0;
   private spentTokens = 0;
-  private meanBound = 0;
-  private readonly rate = new RateEstimate(USE_HALF_LIFE_MILLISECONDS);
+  private smoothedBound = 0;
+  private readonly rate = new RateEstimate(USAGE_HALF_LIFE_MILLISECONDS);
 
-  /** Tokens that a new request may take. */
+  /** Tokens that a new request may reserve. */
   get available(): number {
     return this.availableTokens;
   }
 
-  /** Bounds of requests that run and whose tokens were not taken yet. */
+  /** Sum of the bounds of running requests whose tokens are not reserved yet. */
   get promised(): number {
     return this.promisedTokens;
   }
 
-  /** Tokens that are left once all promises are kept from here; may be negative. */
+  /** Available tokens less promised ones; negative if the promises exceed them. */
   get unpromised(): number {
     return this.availableTokens - this.promisedTokens;
   }
 
-  /** Tokens of requests that have not ended. */
+  /** Tokens reserved by requests that have not ended. */
   get reserved(): number {
     return this.reservedTokens;
   }
 
-  /** Tokens of requests that have ended. */
+  /** Tokens spent by requests that have ended. */
   get spent(): number {
     return this.spentTokens;
   }
 
-  /** Tokens that are not spent: available, or reserved. */
+  /** Unspent tokens: available or reserved. */
   get held(): number {
     return this.availableTokens + this.reservedTokens;
   }
 
-  /** The bound of a usual request: the mean of some recent ones. */
-  get usualBound(): number {
-    return this.meanBound;
+  /** Moving average of recent requests' bounds, in tokens. */
+  get meanBound(): number {
+    return this.smoothedBound;
   }
 
   /**
-   * Tokens that requests put aside in a second, lately. What they use is known only
-   * when they end, seconds later; it is nine tenths of that.
+   * Tokens that requests recently reserved per second. Their actual use is known only
+   * when they end, seconds later; it is nine tenths of the reserved amount.
+   *
+   * @param now Monotonic time, milliseconds.
    */
   usagePerSecond(now: number): number {
     return this.rate.perSecond(now);
   }
 
-  /** Adds what the fold granted. */
+  /** Adds tokens granted or borrowed. */
   credit(tokens: number): void {
     this.availableTokens += tokens;
   }
 
-  /** Takes tokens off, to return them; never more than are available. */
+  /**
+   * Deducts tokens that are to be returned or lent.
+   *
+   * @returns Tokens deducted; never more than are available.
+   */
   debit(tokens: number): number {
-    const taken = Math.max(0, Math.min(tokens, this.availableTokens));
-    this.availableTokens -= taken;
-    return taken;
+    const debited = Math.max(0, Math.min(tokens, this.availableTokens));
+    this.availableTokens -= debited;
+    return debited;
   }
 
-  /** Puts a request's bound aside; false where there isn't enough. */
+  /** Reserves a request's bound; returns false if too few tokens are available. */
   reserve(bound: number, now: number): boolean {
-    if (!this.setAside(bound)) {
+    if (!this.moveToReserved(bound)) {
       return false;
     }
-    this.learn(bound, now);
+    this.recordBound(bound, now);
     return true;
   }
 
-  /** A request of this bound begins; nothing is taken until it delivers. */
+  /** Starts a request whose bound is reserved only when its answer is delivered. */
   promise(bound: number, now: number): void {
     this.promisedTokens += bound;
-    this.learn(bound, now);
+    this.recordBound(bound, now);
   }
 
-  /** Puts a promised bound aside, before anything is delivered; false as above. */
+  /**
+   * Reserves a promised bound before anything is delivered.
+   *
+   * @returns False if too few tokens are available; the promise then remains.
+   */
   keepPromise(bound: number): boolean {
-    if (!this.setAside(bound)) {
+    if (!this.moveToReserved(bound)) {
       return false;
     }
     this.promisedTokens -= bound;
     return true;
   }
 
-  /** A promised request ends, and nothing of it was delivered. */
+  /** Ends a promised request of which nothing was delivered. */
   dropPromise(bound: number): void {
     this.promisedTokens -= bound;
   }
 
   /**
-   * Ends a reservation. Use beyond the bound can't come from an endpoint that
-   * keeps the limit it was told; it is charged to what is available.
+   * Ends a reservation. Use beyond the bound is charged to the available tokens; it
+   * cannot occur with an endpoint that respects the limit in its request.
    */
   settle(bound: number, used: number): void {
     this.reservedTokens -= bound;
@@ -118,7 +129,7 @@
     this.spentTokens += used;
   }
 
-  private setAside(bound: number): boolean {
+  private moveToReserved(bound: number): boolean {
     if (bound > this.availableTokens) {
       return false;
     }
@@ -127,11 +138,12 @@
     return true;
   }
 
-  private learn(bound: number, now: number): void {
+  private recordBound(bound: number, now: number): void {
     this.rate.add(bound, now);
-    this.meanBound =
-      this.meanBound === 0
+    this.smoothedBound =
+      this.smoothedBound === 0
         ? bound
-        : this.meanBound + (bound - this.meanBound) / MEAN_REQUESTS;
+        : this.smoothedBound +
+          (bound - this.smoothedBound) / BOUND_SMOOTHING_REQUESTS;
   }
 }
--- a/packages/budgets/src/grant-sizing.ts
+++ b/packages/budgets/src/grant-sizing.ts
@@ -1,32 +1,33 @@
 import {pooledShare, type BudgetView} from './budget-view.js';
 import type {GrantAccount} from './grant-account.js';
 
-/** What a process asks for or gives back. */
+/** Tokens that a process requests or returns. */
 export interface GrantChange {
-  /** Tokens to ask for; 0 for none. */
+  /** Tokens to request; 0 for none. */
   readonly wish: number;
-  /** Less than this is of no use. */
+  /** Minimum useful grant, in tokens. */
   readonly least: number;
-  /** Tokens to give back. */
+  /** Tokens to return. */
   readonly giveBack: number;
 }
 
 const NO_CHANGE: GrantChange = {wish: 0, least: 0, giveBack: 0};
 
-/** What is kept in hand for the time that the store may be away. */
+/** Tokens that hosts hold in reserve for outages of the store. */
 export interface ReserveOptions {
-  /** The part of a budget's rest that all hosts together may hold, above 0. */
+  /** Part of the remaining budget that all hosts together may hold, above 0. */
   readonly pooledPart: number;
-  /** What a host's callers use in so many seconds is kept, within that part. */
+  /** Seconds of the host's recent usage that its reserve covers, within that part. */
   readonly seconds: number;
 }
 
-/** How large grants are and when they are given back. */
+/** Decides how large grants are and when tokens are returned. */
 export abstract class GrantSizing {
   /**
-   * @param account What the process holds.
-   * @param view The budget as the fold knows it; undefined before any grant.
-   * @param prepaid The budget by the configuration in force.
+   * @param account The process's account of the budget.
+   * @param view The budget as of the fold's offset; undefined before any grant.
+   * @param prepaid The budget of the configuration in force, in tokens.
+   * @param now Monotonic time, milliseconds.
    */
   abstract change(
     account: GrantAccount,
@@ -36,32 +37,32 @@
   ): GrantChange;
 }
 
-/** Below this part of the target, more is asked for. */
-const LOW_PART = 0.8;
-/** An answer of less than this part of what is missing is of no use. */
-const LEAST_PART = 0.25;
+/** Tokens are requested when fewer than this part of the target are available. */
+const REFILL_THRESHOLD_PART = 0.8;
+/** Minimum useful grant, as a part of the missing tokens. */
+const MINIMUM_REFILL_PART = 0.25;
 /**
- * What every host keeps at least of its even share, whether callers come to it or not.
- * Load: a customer's callers come to one host, and the store goes away. Harm: with
- * nothing, the first who comes to another host is refused while plenty lies in the
- * store; with its whole share, each host that dies takes it along.
+ * Part of its even share that every host holds, whether it has callers or not. An
+ * organisation's callers may all use one host when the store becomes unavailable.
+ * Without this minimum, the first caller at another host is refused while the store has
+ * plenty of tokens. With the whole share, the tokens of each host that fails are lost.
  */
-const IDLE_PART = 0.15;
-/** Before the fold knows a budget, so many holders are assumed to share it. */
+const IDLE_SHARE_PART = 0.15;
+/** Number of holders assumed to share a budget before the fold has a view of it. */
 const ASSUMED_HOLDERS = 16;
-/** What is held beyond so many times the target is given back for others to have. */
+/** Tokens beyond this multiple of the target are returned for other holders to use. */
 const SURPLUS_FACTOR = 1.5;
 /**
- * The rest is nearly gone when it can't give each holder so many usual requests:
- * then nothing is kept that no request has reserved. Harm with the largest request
- * in place of the usual one: small budgets are never kept at hosts, and each cut from
- * the store refuses their callers.
+ * A budget is near exhaustion when its remaining tokens do not cover this many requests
+ * of average size for each holder. Holders then keep no unreserved tokens. Measured by
+ * the largest request instead of the average one, small budgets would never be held at
+ * hosts, and their callers would be refused whenever a host loses the store.
  */
-const NEARLY_GONE_REQUESTS = 1;
+const EXHAUSTION_REQUESTS_PER_HOLDER = 1;
 
 /**
- * Grants that outlast a cut while much remains, and single reservations on the log
- * near the end of a budget.
+ * Sizes grants by recent demand. While much of a budget remains, grants outlast a loss
+ * of the store; near the end of the budget, each request reserves its tokens on the log.
  */
 export class DemandSizing extends GrantSizing {
   constructor(private readonly reserve: ReserveOptions) {
@@ -74,7 +75,7 @@
     prepaid: number,
     now: number,
   ): GrantChange {
-    if (view !== undefined && isNearlyGone(account, view)) {
+    if (view !== undefined && isNearExhaustion(account, view)) {
       return {...NO_CHANGE, giveBack: account.available};
     }
     const target = this.target(account, view, prepaid, now);
@@ -82,18 +83,18 @@
     if (surplus > 0) {
       return {...NO_CHANGE, giveBack: surplus};
     }
-    if (account.available >= LOW_PART * target) {
+    if (account.available >= REFILL_THRESHOLD_PART * target) {
       return NO_CHANGE;
     }
     const wish = Math.ceil(target - account.available);
-    const least = Math.max(1, Math.ceil(wish * LEAST_PART));
+    const least = Math.max(1, Math.ceil(wish * MINIMUM_REFILL_PART));
     return {wish, least, giveBack: 0};
   }
 
   /**
-   * What its callers use in the reserve's time, and one usual request. A host that
-   * none of them came to keeps a part of its even share, for those who come while it
-   * is cut off.
+   * Tokens to hold: the largest of the usage during the reserve time, one request of
+   * average size, and a part of the even share. The last serves callers that come to an
+   * idle host while it has no connection to the store.
    */
   private target(
     account: GrantAccount,
@@ -102,18 +103,22 @@
     now: number,
   ): number {
     const {pooledPart, seconds} = this.reserve;
-    const even =
+    const evenShare =
       view === undefined
         ? (prepaid * pooledPart) / ASSUMED_HOLDERS
         : pooledShare(view, pooledPart);
     const usage = account.usagePerSecond(now) * seconds;
-    return Math.floor(Math.max(usage, account.usualBound, even * IDLE_PART));
+    return Math.floor(
+      Math.max(usage, account.meanBound, evenShare * IDLE_SHARE_PART),
+    );
   }
 }
 
-function isNearlyGone(account: GrantAccount, view: BudgetView): boolean {
+function isNearExhaustion(account: GrantAccount, view: BudgetView): boolean {
   return (
-    view.rest <
-    NEARLY_GONE_REQUESTS * view.holders * Math.max(1, account.usualBound)
+    view.remaining <
+    EXHAUSTION_REQUESTS_PER_HOLDER *
+      view.holders *
+      Math.max(1, account.meanBound)
   );
 }
--- a/packages/budgets/src/index.ts
+++ b/packages/budgets/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Budgets on a log that every host reads: the fold that decides who holds what,
- * a process's own account of what it holds, and how much it asks for.
+ * Budgets on a log that every host reads: the fold that decides each process's grants,
+ * a process's account of its tokens, and the sizing of its grant requests.
  */
 export * from './budget-fold.js';
 export * from './budget-checkpoint.js';
--- a/packages/budgets/src/leaving-surplus.ts
+++ b/packages/budgets/src/leaving-surplus.ts
@@ -1,14 +1,14 @@
 import type {BudgetView} from './budget-view.js';
 import type {GrantAccount} from './grant-account.js';
-import {SCARCE_PART} from './reservation.js';
+import {SCARCE_BUDGET_PART} from './reservation.js';
 
 /**
- * What a host gives back whose callers are led to other hosts: all that is not promised,
- * but one usual request, where the log has little for those hosts. Its use of late is no
- * measure of what it needs.
+ * Computes the tokens that a leaving host returns, whose callers are redirected to other
+ * hosts. When few tokens are unallocated, it returns all that are not promised except
+ * for one request of average size. Its recent usage does not indicate what it needs.
  *
- * @param view The budget as the log is known; undefined before any grant.
- * @returns Tokens to give back; undefined where the log has plenty.
+ * @param view The budget as of the fold's offset; undefined before any grant.
+ * @returns Tokens to return; undefined while enough tokens are unallocated.
  * @example
  * ```ts
  * const giveBack = leavingSurplus(account, fold.view('school'));
@@ -18,8 +18,11 @@
   account: GrantAccount,
   view: BudgetView | undefined,
 ): number | undefined {
-  if (view === undefined || view.unallocated >= SCARCE_PART * view.prepaid) {
+  if (
+    view === undefined ||
+    view.unallocated >= SCARCE_BUDGET_PART * view.prepaid
+  ) {
     return undefined;
   }
-  return Math.max(0, Math.floor(account.unpromised - account.usualBound));
+  return Math.max(0, Math.floor(account.unpromised - account.meanBound));
 }
--- a/packages/budgets/src/loans.ts
+++ b/packages/budgets/src/loans.ts
@@ -1,21 +1,21 @@
 import type {BudgetFold} from './budget-fold.js';
 import type {GrantAccount} from './grant-account.js';
 
-/** A process that may lend. */
+/** A process that can be asked for a loan. */
 export interface Lender {
   readonly incarnation: string;
   readonly address: string;
-  /** Tokens that it held when its last record was folded. */
+  /** Unspent tokens that its last folded record reported. */
   readonly held: number;
 }
 
-/** A holder lends one part in so many of what it has. */
-const KEPT_PART = 2;
+/** A holder lends at most its spare tokens divided by this. */
+const LOAN_DIVISOR = 2;
 
 /**
- * Who to ask for a loan: those that held most first. What the log says of them is
- * some seconds old, and loans do not stand there: one that seems to have nothing
- * may have borrowed.
+ * Lists all other holders with an address, the largest reported amount first. The
+ * amounts on the log are some seconds old and do not include loans received, so a holder
+ * that reports nothing is listed too: it may have borrowed tokens.
  */
 export function lendersOf(
   fold: BudgetFold,
@@ -33,23 +33,27 @@
 }
 
 /**
- * How much of an account is lent: half at most, unless the one request that waits
- * at the borrower needs more. An account that can't cover that request lends all:
- * pieces that are too small everywhere serve nobody, and together they serve one.
- * What its own requests were promised is not lent.
+ * Computes how many tokens of an account are lent: half of the spare tokens at most,
+ * unless the first request waiting at the borrower needs more. An account that cannot
+ * cover that request lends all its spare tokens: small amounts at each holder serve no
+ * request, but together they serve one. Tokens promised to the lender's own requests
+ * are not lent.
+ *
+ * @param minimumTokens Tokens that the waiting request needs.
+ * @param requestedTokens Tokens that the borrower would like.
  */
 export function loanFor(
   account: GrantAccount,
-  least: number,
-  wish: number,
+  minimumTokens: number,
+  requestedTokens: number,
 ): number {
-  if (least <= 0) {
+  if (minimumTokens <= 0) {
     return 0;
   }
-  const spare = Math.max(0, account.unpromised);
-  if (spare < least) {
-    return spare;
+  const spareTokens = Math.max(0, account.unpromised);
+  if (spareTokens < minimumTokens) {
+    return spareTokens;
   }
-  const half = Math.floor(spare / KEPT_PART);
-  return Math.max(least, Math.min(wish, half));
+  const lendable = Math.floor(spareTokens / LOAN_DIVISOR);
+  return Math.max(minimumTokens, Math.min(requestedTokens, lendable));
 }
--- a/packages/budgets/src/refill-pacing.ts
+++ b/packages/budgets/src/refill-pacing.ts
@@ -1,41 +1,46 @@
-const SHORTEST_PAUSE_MILLISECONDS = 250;
-const LONGEST_PAUSE_MILLISECONDS = 4_000;
+const MINIMUM_PAUSE_MILLISECONDS = 250;
+const MAXIMUM_PAUSE_MILLISECONDS = 4_000;
 
 /**
- * When the log is asked again for tokens to keep in hand, after it gave none. Each
- * denial doubles the pause. Load: all hosts together hold as much as they may, and many
- * lack a part of their usual. Harm without a pause: every host asks in each exchange
- * for each organisation, and all hosts read and fold all of it.
+ * Exponential backoff for refill requests that the log denies. Denials repeat when all
+ * hosts together hold the maximum allowed and many are below their target. Without a
+ * backoff, every host would request tokens in each exchange for each organisation, and
+ * all hosts would have to read and fold these records.
  *
  * @example
  * ```ts
- * if (pacing.mayAsk(now)) {
- *   ask(wish);
+ * if (pacing.mayRequest(now)) {
+ *   requestGrant(tokens);
  * }
  * ```
  */
 export class RefillPacing {
   private pauseMilliseconds = 0;
-  private askAfter = -Infinity;
+  private nextRequestAt = -Infinity;
 
-  /** Whether a refill may be asked for now, by the monotonic clock. */
-  mayAsk(now: number): boolean {
-    return now >= this.askAfter;
+  /**
+   * Whether a refill may be requested now.
+   *
+   * @param now Monotonic time, milliseconds.
+   */
+  mayRequest(now: number): boolean {
+    return now >= this.nextRequestAt;
   }
 
   /**
-   * Takes the log's verdict on what was asked while no request waited.
+   * Records the log's verdict on a refill, requested while no caller's request waited.
    *
-   * @param granted 0 where it gave nothing.
+   * @param granted Tokens granted; 0 if the refill was denied.
+   * @param now Monotonic time, milliseconds.
    */
-  decided(granted: number, now: number): void {
+  recordVerdict(granted: number, now: number): void {
     this.pauseMilliseconds =
       granted > 0
         ? 0
         : Math.min(
-            LONGEST_PAUSE_MILLISECONDS,
-            Math.max(SHORTEST_PAUSE_MILLISECONDS, 2 * this.pauseMilliseconds),
+            MAXIMUM_PAUSE_MILLISECONDS,
+            Math.max(MINIMUM_PAUSE_MILLISECONDS, 2 * this.pauseMilliseconds),
           );
-    this.askAfter = now + this.pauseMilliseconds;
+    this.nextRequestAt = now + this.pauseMilliseconds;
   }
 }
--- a/packages/budgets/src/reservation.ts
+++ b/packages/budgets/src/reservation.ts
@@ -1,40 +1,43 @@
 import type {BudgetView} from './budget-view.js';
 import type {GrantAccount} from './grant-account.js';
 
-/** When a request's tokens are taken off the account. */
+/** When a request's tokens are reserved in the account. */
 export enum ChargePoint {
-  /** Before it is sent to an endpoint. */
+  /** Before the request is sent to an endpoint. */
   Dispatch = 'dispatch',
-  /** Before the first part of its answer is passed on. */
+  /** Before the first part of the answer is sent to the caller. */
   Delivery = 'delivery',
 }
 
-/** Tokens put aside for one request, or promised to it. */
+/** Tokens reserved for one request, or promised to it. */
 export interface Reservation {
   readonly organisation: string;
-  /** The most that the request can use. */
+  /** Maximum number of tokens that the request can use. */
   readonly bound: number;
-  /** Until `Delivery`'s moment has come, nothing is taken. */
+  /** With `Delivery` the tokens are only promised until the answer is delivered. */
   readonly chargePoint: ChargePoint;
 }
 
 /**
- * While less than this part of a budget is free in the log, tokens are taken before
- * the dispatch. Failure prevented: hosts that do not see each other's promises run
- * more than is left, and callers are refused whose answers were ready.
+ * Tokens are reserved before the dispatch while less than this part of a budget is
+ * available from the log. Hosts do not see each other's promises. Without this limit
+ * they would run requests for more tokens than remain and refuse callers whose answers
+ * are ready.
  */
-export const SCARCE_PART = 0.03;
+export const SCARCE_BUDGET_PART = 0.03;
 
 /**
- * When to take a new request's tokens.
+ * Chooses when a new request's tokens are reserved.
  *
- * Load: all hosts lose power while hundreds of long prompts wait for their first
- * event. Tokens taken at the dispatch count as spent then, though nothing was
- * delivered, and later callers are refused for them. A promise stands in no record
- * and dies with its process; it is made only where the log surely has the tokens.
+ * All hosts can lose power while hundreds of long prompts wait for their first event.
+ * Tokens reserved at the dispatch then count as spent although nothing was delivered,
+ * and later callers are refused for lack of them. A promise is in no record and ends
+ * with its process, so it costs nothing; it is made only where the log is certain to
+ * have the tokens.
  *
- * @param view The budget as the log is known; undefined before any grant.
- * @param isLogAtHand Whether the log answers, so that the tokens can come from it.
+ * @param view The budget as of the fold's offset; undefined before any grant.
+ * @param bound Maximum number of tokens that the request can use.
+ * @param isLogResponsive Whether the log answers and can therefore grant the tokens.
  * @example
  * ```ts
  * chargePoint(account, fold.view('school'), 12_000, true); // ChargePoint.Delivery
@@ -44,13 +47,13 @@
   account: GrantAccount,
   view: BudgetView | undefined,
   bound: number,
-  isLogAtHand: boolean,
+  isLogResponsive: boolean,
 ): ChargePoint {
-  if (view === undefined || !isLogAtHand) {
+  if (view === undefined || !isLogResponsive) {
     return ChargePoint.Dispatch;
   }
   const left = view.unallocated + account.unpromised - bound;
-  return left >= SCARCE_PART * view.prepaid
+  return left >= SCARCE_BUDGET_PART * view.prepaid
     ? ChargePoint.Delivery
     : ChargePoint.Dispatch;
 }
--- a/packages/budgets/src/test/fleet-model.ts
+++ b/packages/budgets/src/test/fleet-model.ts
@@ -7,22 +7,23 @@
 import {UnansweredLoans} from '../unanswered-loans.js';
 
 const ORGANISATION = 'school';
-/** The part of the rest that hosts may hold together. */
+/** Part of the remaining budget that all hosts together may hold. */
 export const POOLED_PART = 0.4;
 
 type Change = Exclude<BudgetRecord['change'], {case: undefined}>;
 
-/** One process: its account, and records that are not on the log yet. */
+/** One process with its account and the records that are not on the log yet. */
 interface ModelHost {
   incarnation: string;
   sequence: number;
   account: GrantAccount;
   unwritten: BudgetRecord[];
+  /** Bounds of requests with reserved tokens. */
   open: number[];
-  /** Bounds of requests that run and deliver nothing yet. */
+  /** Bounds of running requests that have delivered nothing yet. */
   promised: number[];
   unanswered: UnansweredLoans;
-  /** Answers of lenders that were given up, and may come yet. */
+  /** Answers to abandoned loan calls, which may still arrive. */
   lateAnswers: LateAnswer[];
 }
 
@@ -32,56 +33,56 @@
 }
 
 /**
- * Hosts that share one budget on one log, without sockets or time. Each step is one
- * thing that can happen to a process; whatever the order, what was spent stays
- * within what was paid.
+ * Model of hosts that share one budget on one log, without sockets or time. Each method
+ * is one operation of a process. In any order of operations, spending stays within the
+ * prepaid total.
  */
 export class FleetModel {
   readonly fold = new BudgetFold();
-  /** Tokens that requests have used, over all processes that ever ran. */
+  /** Tokens that requests of all processes, running or ended, have used. */
   spent = 0;
   private readonly hosts: ModelHost[];
   private readonly written: BudgetRecord[] = [];
   private version = 1;
   private starts = 0;
   private loans = 0;
-  private mostPaid: number;
+  private highestPrepaid: number;
 
   constructor(
     hosts: number,
-    private paid: number,
+    private currentPrepaid: number,
   ) {
-    this.mostPaid = paid;
+    this.highestPrepaid = currentPrepaid;
     this.hosts = Array.from({length: hosts}, (_unused, index) =>
       this.start(index),
     );
   }
 
-  /** The most that was ever paid. */
-  get prepaid(): number {
-    return this.mostPaid;
+  /** Largest prepaid total of any configuration so far. */
+  get maximumPrepaid(): number {
+    return this.highestPrepaid;
   }
 
-  /** The budget of the newest configuration. */
+  /** Prepaid total of the newest configuration. */
   get newestPrepaid(): number {
-    return this.paid;
+    return this.currentPrepaid;
   }
 
-  /** What the fold keeps of all grants together. */
+  /** Sums over all grants as the fold maintains them. */
   get foldedSums(): FoldedGrant {
     const {outstanding = 0, held = 0} =
       this.fold.organisations.get(ORGANISATION) ?? {};
     return {outstanding, held};
   }
 
-  /** What the fold has granted and not got back: the most that may be spent or held. */
+  /** Tokens granted and not returned: the maximum that may be spent or held. */
   get charged(): number {
     const {outstanding = 0, closedCharge = 0} =
       this.fold.organisations.get(ORGANISATION) ?? {};
     return outstanding + closedCharge;
   }
 
-  /** What the fold keeps of all grants together, grant by grant. */
+  /** Sums over all grants, computed grant by grant. */
   get sumsOverHolders(): FoldedGrant {
     const sums = {outstanding: 0, held: 0};
     for (const {grants} of this.fold.holders.values()) {
@@ -91,13 +92,18 @@
     return sums;
   }
 
-  /** What processes hold and have not used. */
+  /** Unspent tokens in the accounts of all processes. */
   get held(): number {
     return this.hosts.reduce((sum, {account}) => sum + account.held, 0);
   }
 
-  ask(host: number, wish: number, least: number, urgent: boolean): void {
-    this.add(this.at(host), {
+  requestGrant(
+    host: number,
+    wish: number,
+    least: number,
+    urgent: boolean,
+  ): void {
+    this.add(this.hostAt(host), {
       case: 'requested',
       value: {
         $typeName: 'wisteriadeal.v1.GrantRequested',
@@ -105,31 +111,31 @@
         wish,
         least,
         urgent,
-        prepaid: this.paid,
+        prepaid: this.currentPrepaid,
         configurationVersion: this.version,
-        held: this.at(host).account.held,
+        held: this.hostAt(host).account.held,
         pooledPart: POOLED_PART,
       },
     });
   }
 
-  begin(host: number, bound: number): void {
-    const {account, open} = this.at(host);
+  reserve(host: number, bound: number): void {
+    const {account, open} = this.hostAt(host);
     if (account.reserve(bound, 0)) {
       open.push(bound);
     }
   }
 
-  /** A request begins whose tokens are taken when its answer is there. */
+  /** Starts a request whose tokens are reserved when its answer is delivered. */
   promise(host: number, bound: number): void {
-    const {account, promised} = this.at(host);
+    const {account, promised} = this.hostAt(host);
     account.promise(bound, 0);
     promised.push(bound);
   }
 
-  /** The answer to the newest such request is there. */
+  /** Delivers the answer to the newest promised request. */
   deliver(host: number): void {
-    const {account, open, promised} = this.at(host);
+    const {account, open, promised} = this.hostAt(host);
     const bound = promised.at(-1);
     if (bound !== undefined && account.keepPromise(bound)) {
       promised.pop();
@@ -137,18 +143,18 @@
     }
   }
 
-  /** The newest such request ends without an answer. */
-  dropPromise(host: number): void {
-    const {account, promised} = this.at(host);
+  /** Ends the newest promised request without an answer. */
+  cancelPromise(host: number): void {
+    const {account, promised} = this.hostAt(host);
     const bound = promised.pop();
     if (bound !== undefined) {
       account.dropPromise(bound);
     }
   }
 
-  /** A request ends, having used a part of its bound. */
-  end(host: number, part: number): void {
-    const {account, open} = this.at(host);
+  /** Ends a request that used a part of its bound. */
+  settle(host: number, part: number): void {
+    const {account, open} = this.hostAt(host);
     const bound = open.pop();
     if (bound !== undefined) {
       const used = Math.floor(bound * part);
@@ -157,10 +163,10 @@
     }
   }
 
-  giveBack(host: number, tokens: number): void {
-    const {account} = this.at(host);
+  returnTokens(host: number, tokens: number): void {
+    const {account} = this.hostAt(host);
     const amount = account.debit(tokens);
-    this.add(this.at(host), {
+    this.add(this.hostAt(host), {
       case: 'returned',
       value: {
         $typeName: 'wisteriadeal.v1.GrantReturned',
@@ -172,8 +178,8 @@
   }
 
   lend(from: number, to: number, wish: number, isAnswerLost: boolean): void {
-    const lender = this.at(from);
-    const borrower = this.at(to);
+    const lender = this.hostAt(from);
+    const borrower = this.hostAt(to);
     if (lender === borrower) {
       return;
     }
@@ -192,32 +198,32 @@
       },
     });
     if (isAnswerLost) {
-      borrower.unanswered.lost(loan);
+      borrower.unanswered.answerLost(loan);
       borrower.lateAnswers.push({loan, amount});
     } else {
       borrower.account.credit(amount);
     }
   }
 
-  /** The newest answer that was given up arrives nevertheless. */
-  answerLate(host: number): void {
-    const {account, unanswered, lateAnswers} = this.at(host);
+  /** Receives the newest answer to an abandoned loan call. */
+  receiveLateAnswer(host: number): void {
+    const {account, unanswered, lateAnswers} = this.hostAt(host);
     const answer = lateAnswers.pop();
     if (answer !== undefined) {
       account.credit(unanswered.answeredLate(answer.loan, answer.amount));
     }
   }
 
-  /** Appends what a process has not written; verdicts reach it at once. */
-  write(host: number): void {
-    const {unwritten} = this.at(host);
+  /** Appends a process's unwritten records; their outcomes reach it at once. */
+  flush(host: number): void {
+    const {unwritten} = this.hostAt(host);
     for (const record of unwritten.splice(0)) {
       this.append(record);
     }
   }
 
-  /** An append that was made before is executed again, however old. */
-  repeat(index: number): void {
+  /** Executes an earlier append again. */
+  replay(index: number): void {
     const record = this.written[index % Math.max(1, this.written.length)];
     if (record !== undefined) {
       this.append(record);
@@ -225,33 +231,33 @@
   }
 
   /**
-   * The process dies with all that it knew. Open requests may be used whole; of those
-   * that were promised nothing was delivered.
+   * Kills a process, which loses its state, and starts its successor. Requests with
+   * reserved tokens may have used their whole bound; promised requests delivered nothing.
    */
   restart(host: number): void {
     const index = host % this.hosts.length;
-    for (const bound of this.at(host).open) {
+    for (const bound of this.hostAt(host).open) {
       this.spent += bound;
     }
     this.hosts[index] = this.start(index);
   }
 
   topUp(tokens: number): void {
-    this.paid += tokens;
-    this.mostPaid = Math.max(this.mostPaid, this.paid);
+    this.currentPrepaid += tokens;
+    this.highestPrepaid = Math.max(this.highestPrepaid, this.currentPrepaid);
     this.version++;
   }
 
-  /** A configuration sets the budget to less, below what was used perhaps. */
-  lower(tokens: number): void {
-    this.paid = Math.max(0, this.paid - tokens);
+  /** Lowers the budget by a new configuration, possibly below the tokens used. */
+  lowerBudget(tokens: number): void {
+    this.currentPrepaid = Math.max(0, this.currentPrepaid - tokens);
     this.version++;
   }
 
-  private at(host: number): ModelHost {
+  private hostAt(host: number): ModelHost {
     const found = this.hosts[host % this.hosts.length];
     if (found === undefined) {
-      throw new RangeError('a fleet has a host');
+      throw new RangeError('the fleet model has no hosts');
     }
     return found;
   }
--- a/packages/budgets/src/test/grant-sizing_test.ts
+++ b/packages/budgets/src/test/grant-sizing_test.ts
@@ -12,14 +12,14 @@
 function view(rest: number, unallocated = rest): BudgetView {
   return {
     prepaid: PREPAID,
-    rest,
+    remaining: rest,
     unallocated,
     spent: PREPAID - rest,
     holders: HOLDERS,
   };
 }
 
-/** An account that has seen requests of these sizes, with tokens in hand. */
+/** Creates an account with these requests in its history and available tokens. */
 function accountOf(available: number, bounds: readonly number[]): GrantAccount {
   const account = new GrantAccount();
   for (const bound of bounds) {
@@ -31,16 +31,16 @@
   return account;
 }
 
-/** Nine usual requests and one that is tenfold, as prompts come. */
+/** Bounds of ten usual requests and of one about twentyfold, in tokens. */
 const MIXED_SIZES = [
   2_000, 1_500, 39_000, 1_800, 2_200, 1_700, 2_000, 1_900, 2_100, 1_600, 1_800,
 ];
 
 describe('DemandSizing', () => {
-  it('keeps tokens of a small budget at hosts although one request was large', () => {
-    // The caller sees: requests of a small customer are refused as soon as the store
-    // is away. One prompt of 39,000 tokens was seen; measured by it, 240,000 tokens
-    // seem nearly gone for nine hosts, and each gives back all that it holds.
+  it('keeps tokens of a small budget at hosts after one large request', () => {
+    // Guards against refusals to a small organisation as soon as the store is
+    // unavailable. Measured by one prompt of 39,000 tokens, a budget of 240,000 tokens
+    // would seem near exhaustion for nine hosts, and each would return all its tokens.
     const change = new DemandSizing(RESERVE).change(
       accountOf(8_000, MIXED_SIZES),
       view(200_000),
@@ -50,9 +50,9 @@
     expect(change.giveBack).toBe(0);
   });
 
-  it('keeps a usual request where its callers have stayed away', () => {
-    // The caller who comes back after a minute finds one request's tokens in hand;
-    // what lies there beyond that is lost if the host dies, and serves others.
+  it('keeps one request of average size when callers have been idle', () => {
+    // A caller that returns after a minute finds the tokens of one request. Tokens
+    // beyond that would be lost if the host failed, and are returned for other hosts.
     const account = accountOf(8_000, MIXED_SIZES);
     const {giveBack} = new DemandSizing(RESERVE).change(
       account,
@@ -60,13 +60,13 @@
       PREPAID,
       120_000,
     );
-    expect(8_000 - giveBack).toBeGreaterThanOrEqual(account.usualBound);
+    expect(8_000 - giveBack).toBeGreaterThanOrEqual(account.meanBound);
     expect(giveBack).toBeGreaterThan(0);
   });
 
-  it('keeps little of a budget whose callers come to other hosts', () => {
-    // The caller sees nothing of another host's death. One of nine hosts dies early;
-    // had it held its even share, a twentieth of each budget was lost with it.
+  it('keeps little of a budget whose callers use other hosts', () => {
+    // Guards against tokens lost with an idle host. If one of nine hosts fails early
+    // while it holds its even share, a twentieth of each budget is lost with it.
     const change = new DemandSizing(RESERVE).change(
       accountOf(10_000, []),
       view(PREPAID - 5_000),
@@ -76,7 +76,7 @@
     expect(10_000 - change.giveBack).toBeLessThan(0.01 * PREPAID);
   });
 
-  it('keeps nothing in hand when the rest is less than a request a host', () => {
+  it('keeps nothing when the remaining budget is below one request per host', () => {
     const change = new DemandSizing(RESERVE).change(
       accountOf(1_500, MIXED_SIZES),
       view(9_000),
@@ -86,7 +86,7 @@
     expect(change).toEqual({wish: 0, least: 0, giveBack: 1_500});
   });
 
-  it('asks for a part of its even share before it knows any use', () => {
+  it('requests a part of its even share before any usage', () => {
     const change = new DemandSizing(RESERVE).change(
       new GrantAccount(),
       view(PREPAID),
@@ -98,7 +98,7 @@
     );
   });
 
-  it('gives back what it holds far beyond its share and use', () => {
+  it('returns tokens far beyond its share and usage', () => {
     const change = new DemandSizing(RESERVE).change(
       accountOf(60_000, []),
       view(PREPAID),
@@ -110,17 +110,17 @@
 });
 
 describe('loanFor', () => {
-  it('lends half of what it has', () => {
+  it('lends half of the available tokens', () => {
     expect(loanFor(accountOf(10_000, []), 1_000, 9_000)).toBe(5_000);
   });
 
-  it('lends all where it can not cover the request that waits', () => {
-    // The caller sees: refused, while nine hosts together hold enough. Each has less
-    // than one request needs and keeps it; gathered, the pieces serve one.
+  it('lends everything when it cannot cover the waiting request', () => {
+    // Guards against a refusal while nine hosts together hold enough tokens, but each
+    // one keeps less than one request needs. Together their tokens serve one request.
     expect(loanFor(accountOf(900, []), 1_000, 3_000)).toBe(900);
   });
 
-  it('lends nothing where nothing is asked for', () => {
+  it('lends nothing when nothing is requested', () => {
     expect(loanFor(accountOf(900, []), 0, 0)).toBe(0);
   });
 });
--- a/packages/budgets/src/test/reservation_test.ts
+++ b/packages/budgets/src/test/reservation_test.ts
@@ -12,17 +12,18 @@
   return {
     prepaid: PREPAID,
     unallocated,
-    rest: unallocated,
+    remaining: unallocated,
     spent: PREPAID - unallocated,
     holders: 8,
   };
 }
 
 describe('chargePoint', () => {
-  it('takes nothing before an answer while the log has plenty', () => {
-    // The caller sees: after all hosts lost power, its budget is there. Callers come
-    // back in a herd after a cut; 200 long prompts wait for their first event as the
-    // power goes. Taken at the dispatch, 2.4 million tokens would count as spent.
+  it('reserves nothing before an answer while the log has enough tokens', () => {
+    // Guards against a budget that shrinks when all hosts lose power. After a network
+    // partition all callers return at once, and 200 long prompts wait for their first
+    // event when the power fails. Reserved at the dispatch, 2.4 million tokens would
+    // count as spent.
     const account = new GrantAccount();
     const left = view(2_900_000);
     let promises = 0;
@@ -34,7 +35,7 @@
     expect(account.held).toBe(0);
   });
 
-  it('promises no more than the log has, less a margin for other hosts', () => {
+  it('promises at most the unallocated tokens less a margin for other hosts', () => {
     const account = new GrantAccount();
     const left = view(300_000);
     while (chargePoint(account, left, PROMPT, true) === ChargePoint.Delivery) {
@@ -43,9 +44,10 @@
     expect(account.promised).toBeLessThanOrEqual(300_000 - 0.03 * PREPAID);
   });
 
-  it('takes tokens at the dispatch while the store is away or nothing is known', () => {
-    // The caller is refused at once, and not after its answer was made: while the
-    // store is away nothing comes from there, and what is in hand is all there is.
+  it('reserves at the dispatch while the store is unavailable or without a view', () => {
+    // Guards against a refusal after the answer was produced. While the store is
+    // unavailable it grants nothing, so only the available tokens can be used and the
+    // caller must be refused before the dispatch.
     const account = new GrantAccount();
     account.credit(1_000_000);
     expect(chargePoint(account, view(2_000_000), PROMPT, false)).toBe(
@@ -58,9 +60,9 @@
 });
 
 describe('loanFor', () => {
-  it('keeps what requests that run were promised', () => {
-    // The caller at this host sees its answer pass on as soon as it is ready. A cut
-    // begins while it runs, and another host asks for all that is in hand.
+  it('does not lend tokens promised to running requests', () => {
+    // Guards against a ready answer that waits for tokens. The store becomes unreachable
+    // while the request runs, and another host asks for all available tokens.
     const account = new GrantAccount();
     account.credit(20_000);
     account.promise(PROMPT, 0);
--- a/packages/budgets/src/unanswered-loans.ts
+++ b/packages/budgets/src/unanswered-loans.ts
@@ -1,45 +1,47 @@
 /**
- * Names of lost loans that are remembered; the oldest is forgotten, which strands
- * its tokens and creates none. Some tens are lost in an outage of the store.
+ * Number of loans that are tracked. The oldest one is dropped beyond that, which strands
+ * its tokens but never creates any. An outage of the store loses the answers to some
+ * tens of loans.
  */
-const MOST_REMEMBERED = 4_096;
+const MAXIMUM_LOANS = 4_096;
 
-/** How far one loan has come, as its borrower knows it. */
-interface AskedLoan {
+/** State of one loan at its borrower. */
+interface PendingLoan {
   isAnswerLost: boolean;
-  /** What the lender's record gave, where it came before the answer. */
-  recorded: number | undefined;
+  /** Tokens in the lender's record, if it was folded before the answer came. */
+  recordedTokens: number | undefined;
 }
 
 /**
- * Loans whose answer was lost: the lender has taken the tokens off its account, and
- * its record on the log brings them. Load: hosts lend each other all the time, and
- * lenders freeze or are cut off. Harm without it: the tokens are nobody's.
+ * Recovers loans whose answer was lost. The lender has already deducted the tokens from
+ * its account; its record on the log delivers them. Hosts lend to each other all the
+ * time, and lenders freeze or are partitioned. Without this recovery no account would
+ * hold the tokens.
  *
- * Each loan is taken once: by its answer or by its record. Until the call is given up
- * the answer decides; after that, whichever comes first.
+ * Each loan is credited once, by its answer or by its record. The answer takes
+ * precedence until the call is abandoned; after that, the first of the two does.
  */
 export class UnansweredLoans {
-  private readonly loans = new Map<string, AskedLoan>();
+  private readonly loans = new Map<string, PendingLoan>();
 
-  /** A loan is being asked for. */
-  asked(loan: string): void {
-    this.loans.set(loan, {isAnswerLost: false, recorded: undefined});
+  /** Tracks a loan that is being requested. */
+  requested(loan: string): void {
+    this.loans.set(loan, {isAnswerLost: false, recordedTokens: undefined});
     const [oldest] = this.loans.keys();
-    if (oldest !== undefined && this.loans.size > MOST_REMEMBERED) {
+    if (oldest !== undefined && this.loans.size > MAXIMUM_LOANS) {
       this.loans.delete(oldest);
     }
   }
 
-  /** The lender answered: its record brings nothing more. */
+  /** Records the lender's answer; the lender's record then credits nothing. */
   answered(loan: string): void {
     this.loans.delete(loan);
   }
 
   /**
-   * The answer came after the call was given up.
+   * Records an answer that came after the call was abandoned.
    *
-   * @returns Tokens to credit now; 0 where the record brought them.
+   * @returns Tokens to credit now; 0 if the record has already credited them.
    * @example
    * ```ts
    * account.credit(loans.answeredLate(loan, lent));
@@ -50,35 +52,35 @@
   }
 
   /**
-   * The call ended without an answer in time.
+   * Records that the call ended without an answer in time.
    *
-   * @returns Tokens to credit now: the record came first.
+   * @returns Tokens to credit now, if the record came first; else 0.
    */
-  lost(loan: string): number {
-    const recorded = this.loans.get(loan)?.recorded;
-    if (recorded !== undefined) {
+  answerLost(loan: string): number {
+    const recordFolded = this.loans.get(loan)?.recordedTokens;
+    if (recordFolded !== undefined) {
       this.loans.delete(loan);
-      return recorded;
+      return recordFolded;
     }
-    this.loans.set(loan, {isAnswerLost: true, recorded: undefined});
+    this.loans.set(loan, {isAnswerLost: true, recordedTokens: undefined});
     return 0;
   }
 
   /**
-   * The lender's record was folded.
+   * Records that the lender's record was folded.
    *
-   * @returns Tokens to credit now; 0 where the answer brought or may bring them.
+   * @returns Tokens to credit now; 0 if the answer has credited them or still may.
    */
   recorded(loan: string, amount: number): number {
-    const asked = this.loans.get(loan);
-    if (asked === undefined) {
+    const pending = this.loans.get(loan);
+    if (pending === undefined) {
       return 0;
     }
-    if (asked.isAnswerLost) {
+    if (pending.isAnswerLost) {
       this.loans.delete(loan);
       return amount;
     }
-    asked.recorded = amount;
+    pending.recordedTokens = amount;
     return 0;
   }
 }
--- a/packages/gateway/src/budget-answer.ts
+++ b/packages/gateway/src/budget-answer.ts
@@ -15,17 +15,17 @@
  * 9 s and a small budget's grants are used up. Harm: callers that return at once are
  * refused again, and have no try left when the store is back.
  */
-const SHORTEST_STORE_RETRY_MILLISECONDS = 1_000;
-const LONGEST_STORE_RETRY_MILLISECONDS = 5_000;
+const MINIMUM_STORE_RETRY_MILLISECONDS = 1_000;
+const MAXIMUM_STORE_RETRY_MILLISECONDS = 5_000;
 
 /**
  * What a caller is told whose request got no reservation.
  *
- * @param awayMilliseconds How long the store has been away; 0 where it is not.
+ * @param unavailableMilliseconds How long the store has been away; 0 where it is not.
  */
 export function budgetAnswer(
   refusal: BudgetRefusal,
-  awayMilliseconds: number,
+  unavailableMilliseconds: number,
 ): OwnAnswer {
   switch (refusal) {
     case BudgetRefusal.Exhausted:
@@ -34,12 +34,12 @@
       return notRun(OwnReason.BudgetUnavailable, BUDGET_RETRY_MILLISECONDS);
     case BudgetRefusal.Stopping:
       return notRun(OwnReason.Stopping, STOPPING_RETRY_MILLISECONDS);
-    case BudgetRefusal.StoreAway:
+    case BudgetRefusal.StoreUnavailable:
       return notRun(
         OwnReason.BudgetUnavailable,
         Math.min(
-          LONGEST_STORE_RETRY_MILLISECONDS,
-          Math.max(SHORTEST_STORE_RETRY_MILLISECONDS, awayMilliseconds),
+          MAXIMUM_STORE_RETRY_MILLISECONDS,
+          Math.max(MINIMUM_STORE_RETRY_MILLISECONDS, unavailableMilliseconds),
         ),
       );
   }
--- a/packages/gateway/src/budget-codec.ts
+++ b/packages/gateway/src/budget-codec.ts
@@ -34,7 +34,7 @@
 export function decodeRecord(bytes: Uint8Array): BudgetRecord | undefined {
   return (
     RECORD_READER.read(bytes) ??
-    decoded(() => fromBinary(BudgetRecordSchema, bytes))
+    tryDecode(() => fromBinary(BudgetRecordSchema, bytes))
   );
 }
 
@@ -47,10 +47,10 @@
 export function decodeCheckpoint(
   bytes: Uint8Array,
 ): BudgetCheckpoint | undefined {
-  return decoded(() => fromBinary(BudgetCheckpointSchema, bytes));
+  return tryDecode(() => fromBinary(BudgetCheckpointSchema, bytes));
 }
 
-function decoded<Message>(decode: () => Message): Message | undefined {
+function tryDecode<Message>(decode: () => Message): Message | undefined {
   try {
     return decode();
   } catch {
--- a/packages/gateway/src/budget-holder.ts
+++ b/packages/gateway/src/budget-holder.ts
@@ -6,26 +6,26 @@
 import type {Clock} from '@wisteriadeal/platform';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import {BudgetBook} from './budget-book.js';
+import {BudgetRegistry} from './budget-registry.js';
 import type {BudgetJournal} from './budget-journal.js';
 import type {BudgetReplica} from './budget-replica.js';
 import type {FleetConfiguration} from './configuration.js';
 import {GrantBorrower} from './grant-borrower.js';
 import {GrantLender} from './grant-lender.js';
 import {GrantPlanner} from './grant-planner.js';
-import type {GivenAmount, LoanHolder, LoanPeers} from './loan-peers.js';
+import type {GrantAmount, LoanHolder, LoanPeers} from './loan-peers.js';
 import {OrganisationBudget} from './organisation-budget.js';
 import type {StoreHealth} from './store-health.js';
 import {TokenReservations} from './token-reservations.js';
 
 /** The log is read at least this often: others' grants decide what is left. */
-const POLL_MILLISECONDS = 700;
+const POLL_INTERVAL_MILLISECONDS = 700;
 /** Between turns while records are to be written. */
-const TURN_MILLISECONDS = 5;
+const PENDING_RECORDS_INTERVAL_MILLISECONDS = 5;
 /** Between turns while requests wait for tokens that others may give back. */
-const WAITING_MILLISECONDS = 25;
+const WAITING_REQUESTS_INTERVAL_MILLISECONDS = 25;
 /** Between turns while the store fails. */
-const RETRY_MILLISECONDS = 200;
+const RETRY_INTERVAL_MILLISECONDS = 200;
 
 /**
  * Holds this process's grants: reservations are taken from them without a message.
@@ -35,7 +35,7 @@
 export class BudgetHolder {
   /** What requests use and get. */
   readonly reservations: TokenReservations;
-  private readonly book: BudgetBook;
+  private readonly registry: BudgetRegistry;
   private readonly grantLender: GrantLender;
   private readonly borrower: GrantBorrower;
   private readonly planner: GrantPlanner;
@@ -63,12 +63,16 @@
       clock,
       events,
     );
-    this.book = new BudgetBook(replica, health, clock);
-    this.reservations = new TokenReservations(this.book, this.borrower, () => {
-      this.wake.abort();
-    });
+    this.registry = new BudgetRegistry(replica, health, clock);
+    this.reservations = new TokenReservations(
+      this.registry,
+      this.borrower,
+      () => {
+        this.wake.abort();
+      },
+    );
     this.grantLender = new GrantLender(
-      this.book,
+      this.registry,
       journal,
       this.reservations,
       events,
@@ -101,7 +105,7 @@
 
   /** What is known of an organisation's budget here, for dumps. */
   describe(organisation: string): Readonly<Record<string, number>> | undefined {
-    return this.book.describe(organisation);
+    return this.registry.describe(organisation);
   }
 
   /** Takes the budgets of a configuration that has come into force. */
@@ -127,7 +131,7 @@
 
   /** Keeps the grants filled until it is closed. */
   run(): Promise<void> {
-    this.running = this.takeTurns();
+    this.running = this.runExchanges();
     return this.running;
   }
 
@@ -140,13 +144,13 @@
     this.beginClosing();
     await this.running;
     if (this.health.isAway) {
-      await this.borrower.handOver(this.takeRest());
+      await this.borrower.handOver(this.debitAvailable());
     } else {
-      for (const budget of this.book.all) {
-        this.planner.giveBack(budget, budget.account.available);
+      for (const budget of this.registry.all) {
+        this.planner.returnTokens(budget, budget.account.available);
       }
     }
-    await this.turn();
+    await this.exchange();
     this.peers.close();
   }
 
@@ -165,26 +169,28 @@
     this.wake.abort();
   }
 
-  private async takeTurns(): Promise<void> {
+  private async runExchanges(): Promise<void> {
     while (!this.stop.signal.aborted) {
-      this.rearm();
-      const pause = await this.turn();
+      this.resetWake();
+      const pause = await this.exchange();
       await this.clock.sleep(pause, this.wake.signal);
     }
   }
 
   private setPrepaid(name: string, prepaid: number, version: number): void {
-    const budget = this.book.get(name);
+    const budget = this.registry.get(name);
     if (budget === undefined) {
-      this.book.add(new OrganisationBudget(name, prepaid, version, this.clock));
+      this.registry.add(
+        new OrganisationBudget(name, prepaid, version, this.clock),
+      );
       return;
     }
     if (prepaid < budget.prepaid) {
       // Grants given under the larger budget could be spent beyond the new one.
-      this.planner.giveBack(budget, budget.account.available);
+      this.planner.returnTokens(budget, budget.account.available);
     }
     if (prepaid !== budget.prepaid) {
-      budget.isUntold = true;
+      budget.hasUnreportedBudget = true;
       this.events.info('budget changed', {
         organisation: name,
         prepaid,
@@ -197,8 +203,8 @@
   }
 
   /** Takes all that no request has reserved off the accounts. */
-  private takeRest(): readonly GivenAmount[] {
-    return this.book.all
+  private debitAvailable(): readonly GrantAmount[] {
+    return this.registry.all
       .map(({name, account}) => ({
         organisation: name,
         amount: account.debit(account.available),
@@ -207,28 +213,30 @@
   }
 
   /** One exchange with the store; returns the pause before the next. */
-  private async turn(): Promise<number> {
+  private async exchange(): Promise<number> {
     try {
-      this.plan();
+      this.planGrants();
       this.health.called(this.clock.monotonicMilliseconds());
       const outcomes = await this.journal.exchange();
       this.health.answered(this.clock.monotonicMilliseconds());
       outcomes.forEach(outcome => {
-        this.takeOutcome(outcome);
+        this.applyOutcome(outcome);
       });
-      this.noteOpening();
+      this.recordOpening();
       await this.replica.checkpointIfDue(this.journal.incarnation);
     } catch (error) {
       this.health.failed(this.clock.monotonicMilliseconds(), error);
-      return RETRY_MILLISECONDS;
+      return RETRY_INTERVAL_MILLISECONDS;
     }
-    if (this.journal.hasPending || this.mayAskForWaiting()) {
-      return TURN_MILLISECONDS;
+    if (this.journal.hasPending || this.mayRequestForWaiting()) {
+      return PENDING_RECORDS_INTERVAL_MILLISECONDS;
     }
-    return this.hasWaiting() ? WAITING_MILLISECONDS : POLL_MILLISECONDS;
+    return this.hasWaitingRequests()
+      ? WAITING_REQUESTS_INTERVAL_MILLISECONDS
+      : POLL_INTERVAL_MILLISECONDS;
   }
 
-  private noteOpening(): void {
+  private recordOpening(): void {
     if (this.hasOpened || !this.journal.isOpen) {
       return;
     }
@@ -240,40 +248,40 @@
     });
   }
 
-  private plan(): void {
+  private planGrants(): void {
     if (this.isClosing || !this.hasOpened) {
       return;
     }
     if (!this.journal.isOpen && !this.journal.hasPending) {
       this.journal.reopen();
-      for (const budget of this.book.all) {
-        budget.isAsking = false;
-        budget.isUntold = true;
+      for (const budget of this.registry.all) {
+        budget.isRequesting = false;
+        budget.hasUnreportedBudget = true;
       }
     }
-    for (const budget of this.book.all) {
+    for (const budget of this.registry.all) {
       this.planner.plan(budget);
     }
   }
 
-  private takeOutcome(outcome: FoldOutcome): void {
+  private applyOutcome(outcome: FoldOutcome): void {
     if (outcome.kind === 'opening') {
-      this.logClosed(outcome.closed);
+      this.logClosedGrants(outcome.closed);
       return;
     }
-    const budget = this.book.get(outcome.organisation);
+    const budget = this.registry.get(outcome.organisation);
     if (budget === undefined) {
       return;
     }
     if (outcome.kind === 'loan') {
-      this.borrower.recorded(budget, outcome);
+      this.borrower.loanRecorded(budget, outcome);
     } else {
-      this.planner.take(budget, outcome);
+      this.planner.applyVerdict(budget, outcome);
     }
   }
 
   /** What the process before this one on the host had, and took with it. */
-  private logClosed(closed: readonly ClosedGrant[]): void {
+  private logClosedGrants(closed: readonly ClosedGrant[]): void {
     for (const {organisation, charged, lastHeld} of closed) {
       this.events.info('grant of an ended process closed', {
         organisation,
@@ -284,16 +292,16 @@
     }
   }
 
-  private mayAskForWaiting(): boolean {
+  private mayRequestForWaiting(): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return this.book.all.some(budget => budget.mayAskForWaiting(now));
+    return this.registry.all.some(budget => budget.mayRequestForWaiting(now));
   }
 
-  private hasWaiting(): boolean {
-    return this.book.all.some(({waiters}) => waiters.count > 0);
+  private hasWaitingRequests(): boolean {
+    return this.registry.all.some(({waiters}) => waiters.count > 0);
   }
 
-  private rearm(): void {
+  private resetWake(): void {
     if (this.wake.signal.aborted) {
       this.wake = new AbortController();
     }
--- a/packages/gateway/src/budget-journal.ts
+++ b/packages/gateway/src/budget-journal.ts
@@ -82,12 +82,13 @@
    */
   async exchange(): Promise<readonly FoldOutcome[]> {
     const batch = [...this.pending];
-    const offset = batch.length === 0 ? undefined : await this.appended(batch);
+    const offset =
+      batch.length === 0 ? undefined : await this.appendBatch(batch);
     const outcomes =
       offset !== undefined && offset === this.replica.fold.nextOffset
-        ? this.replica.takeOwn(batch)
+        ? this.replica.applyOwn(batch)
         : await this.replica.catchUp();
-    this.forgetFolded();
+    this.removeFolded();
     return outcomes.filter(
       ({incarnation}) => incarnation === this.currentIncarnation,
     );
@@ -105,7 +106,7 @@
     });
   }
 
-  private async appended(
+  private async appendBatch(
     batch: readonly BudgetRecord[],
   ): Promise<number | undefined> {
     try {
@@ -122,7 +123,7 @@
     }
   }
 
-  private forgetFolded(): void {
+  private removeFolded(): void {
     const holder = this.replica.fold.holders.get(this.currentIncarnation);
     const last = holder?.lastSequence ?? 0;
     this.pending = this.pending.filter(({sequence}) => sequence > last);
--- a/packages/gateway/src/budget-book.ts
+++ b/packages/gateway/src/budget-registry.ts
@@ -7,7 +7,7 @@
 import {BudgetRefusal} from './token-waiters.js';
 
 /** All budgets as this process holds them, beside what the log says of each. */
-export class BudgetBook {
+export class BudgetRegistry {
   private readonly budgets = new Map<string, OrganisationBudget>();
 
   constructor(
@@ -67,10 +67,10 @@
    * the store have not given up yet. Harm of naming others' hands while the log is
    * known to have enough: callers come back after 0.6 s, into the same outage.
    */
-  refusalOfLate(budget: OrganisationBudget, bound: number): BudgetRefusal {
+  timeoutRefusal(budget: OrganisationBudget, bound: number): BudgetRefusal {
     const view = this.view(budget.name);
-    return this.health.isAway || budget.awaitsLog(view, bound)
-      ? BudgetRefusal.StoreAway
+    return this.health.isAway || budget.expectsGrant(view, bound)
+      ? BudgetRefusal.StoreUnavailable
       : BudgetRefusal.HeldElsewhere;
   }
 }
--- a/packages/gateway/src/budget-replica.ts
+++ b/packages/gateway/src/budget-replica.ts
@@ -1,7 +1,7 @@
 import {
   BudgetFold,
-  checkpointOf,
-  foldFrom,
+  createCheckpoint,
+  foldFromCheckpoint,
   type FoldOutcome,
 } from '@wisteriadeal/budgets';
 import {
@@ -32,13 +32,13 @@
 
 /** This process's copy of the fold, and how it keeps up with the log. */
 export class BudgetReplica {
-  private folded = new BudgetFold();
+  private currentFold = new BudgetFold();
   private isLoaded = false;
-  private checkpointAt = 0;
-  private checkpointTime: number;
-  private turn = 0;
+  private checkpointOffset = 0;
+  private checkpointWrittenAt: number;
+  private checkpointTurn = 0;
   /** What folded records say to processes, until a read to the end has returned it. */
-  private untold: FoldOutcome[] = [];
+  private unreportedOutcomes: FoldOutcome[] = [];
 
   /**
    * @param checkpointMilliseconds A checkpoint is written when the newest is
@@ -50,12 +50,12 @@
     private readonly checkpointMilliseconds: number,
     private readonly events: EventLog,
   ) {
-    this.checkpointTime = clock.monotonicMilliseconds();
+    this.checkpointWrittenAt = clock.monotonicMilliseconds();
   }
 
   /** The fold as far as this process has read. */
   get fold(): BudgetFold {
-    return this.folded;
+    return this.currentFold;
   }
 
   /**
@@ -67,23 +67,23 @@
    */
   async catchUp(): Promise<readonly FoldOutcome[]> {
     if (!this.isLoaded) {
-      await this.load();
+      await this.loadCheckpoint();
     }
     try {
-      return await this.readOn();
+      return await this.readToEnd();
     } catch (error) {
       if (!(error instanceof RecordsDroppedError)) {
         throw error;
       }
-      await this.load();
-      return this.readOn();
+      await this.loadCheckpoint();
+      return this.readToEnd();
     }
   }
 
   /** Folds records that this process knows to stand at the next offsets. */
-  takeOwn(records: readonly BudgetRecord[]): readonly FoldOutcome[] {
-    this.foldAll(records);
-    return this.takeUntold();
+  applyOwn(records: readonly BudgetRecord[]): readonly FoldOutcome[] {
+    this.applyAll(records);
+    return this.takeUnreportedOutcomes();
   }
 
   /**
@@ -92,75 +92,81 @@
    */
   async checkpointIfDue(incarnation: string): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
-    const isOld = now - this.checkpointTime >= this.checkpointMilliseconds;
-    const isTurn = this.isNewTurnOf(incarnation);
-    if ((!isOld && !isTurn) || this.folded.nextOffset === this.checkpointAt) {
+    const isOld = now - this.checkpointWrittenAt >= this.checkpointMilliseconds;
+    const isTurn = this.advanceCheckpointTurn(incarnation);
+    if (
+      (!isOld && !isTurn) ||
+      this.currentFold.nextOffset === this.checkpointOffset
+    ) {
       return;
     }
-    const offset = this.folded.nextOffset;
+    const offset = this.currentFold.nextOffset;
     await this.log.put(
       CHECKPOINT_PARTITION,
       CHECKPOINT_KEY,
-      encodeCheckpoint(checkpointOf(this.folded)),
+      encodeCheckpoint(createCheckpoint(this.currentFold)),
     );
-    this.checkpointAt = offset;
-    this.checkpointTime = now;
+    this.checkpointOffset = offset;
+    this.checkpointWrittenAt = now;
     this.events.info('budget checkpoint written', {offset});
   }
 
   /** Holders take turns by the log's offset; a dead one's turn is passed over. */
-  private isNewTurnOf(incarnation: string): boolean {
-    const turn = Math.floor(this.folded.nextOffset / CHECKPOINT_RECORDS);
-    if (turn === this.turn) {
+  private advanceCheckpointTurn(incarnation: string): boolean {
+    const turn = Math.floor(this.currentFold.nextOffset / CHECKPOINT_RECORDS);
+    if (turn === this.checkpointTurn) {
       return false;
     }
-    this.turn = turn;
-    const holders = [...this.folded.holders.keys()];
+    this.checkpointTurn = turn;
+    const holders = [...this.currentFold.holders.keys()];
     return holders[turn % holders.length] === incarnation;
   }
 
-  private async load(): Promise<void> {
+  private async loadCheckpoint(): Promise<void> {
     const newest = await this.log.newest(CHECKPOINT_PARTITION);
     const bytes = newest.items.find(({key}) => key === CHECKPOINT_KEY)?.value;
     const checkpoint =
       bytes === undefined ? undefined : decodeCheckpoint(bytes);
     if (
       checkpoint !== undefined &&
-      checkpoint.offset > this.folded.nextOffset
+      checkpoint.offset > this.currentFold.nextOffset
     ) {
-      this.folded = foldFrom(checkpoint);
-      this.checkpointAt = checkpoint.offset;
+      this.currentFold = foldFromCheckpoint(checkpoint);
+      this.checkpointOffset = checkpoint.offset;
       this.events.info('budget checkpoint read', {offset: checkpoint.offset});
     }
     this.isLoaded = true;
   }
 
-  private async readOn(): Promise<readonly FoldOutcome[]> {
+  private async readToEnd(): Promise<readonly FoldOutcome[]> {
     for (;;) {
       const range = await this.log.read(
         BUDGET_PARTITION,
-        this.folded.nextOffset,
+        this.currentFold.nextOffset,
         0,
       );
-      this.foldAll(range.records.map(decodeRecord));
-      if (this.folded.nextOffset >= range.end || range.records.length === 0) {
-        return this.takeUntold();
+      this.applyAll(range.records.map(decodeRecord));
+      if (
+        this.currentFold.nextOffset >= range.end ||
+        range.records.length === 0
+      ) {
+        return this.takeUnreportedOutcomes();
       }
     }
   }
 
-  private foldAll(records: readonly (BudgetRecord | undefined)[]): void {
+  private applyAll(records: readonly (BudgetRecord | undefined)[]): void {
     for (const record of records) {
-      const outcome = this.folded.apply(record);
+      const outcome = this.currentFold.apply(record);
       if (outcome !== undefined) {
-        this.untold.push(outcome);
+        this.unreportedOutcomes.push(outcome);
       }
     }
   }
 
-  private takeUntold(): readonly FoldOutcome[] {
-    const outcomes = this.untold;
-    this.untold = [];
+  private takeUnreportedOutcomes(): readonly FoldOutcome[] {
+    const outcomes = this.unreportedOutcomes;
+    this.unreportedOutcomes = [];
     return outcomes;
   }
 }
--- a/packages/gateway/src/grant-borrower.ts
+++ b/packages/gateway/src/grant-borrower.ts
@@ -8,7 +8,7 @@
 
 import type {BudgetJournal} from './budget-journal.js';
 import type {BudgetReplica} from './budget-replica.js';
-import type {GivenAmount, LoanPeers} from './loan-peers.js';
+import type {GrantAmount, LoanPeers} from './loan-peers.js';
 import type {OrganisationBudget} from './organisation-budget.js';
 import type {StoreHealth} from './store-health.js';
 import {BudgetRefusal} from './token-waiters.js';
@@ -18,26 +18,26 @@
  * pieces that are smaller than a request. Harm with few lenders: the pieces are not
  * gathered, and the request is refused.
  */
-const MOST_LENDERS = 12;
+const MAXIMUM_LENDERS = 12;
 /** Lenders asked at once; a silent one costs the request that waits 120 ms. */
-const LENDERS_AT_ONCE = 3;
+const CONCURRENT_LENDERS = 3;
 /** A loan is asked for so many times what waits, so that the next finds some. */
-const LOAN_FACTOR = 3;
+const LOAN_SIZE_FACTOR = 3;
 /**
  * Calls to the store that fail for this host's own link alone fail no longer: the store
  * may be away as well, and requests would wait in vain.
  */
 const LINK_FAILURE_MILLISECONDS = 2_000;
 /** Why a lender is not asked until its late answer has come. */
-const LATE = 'no answer in time, as this host’s link is late';
+const LATE_ANSWER_REASON = 'no answer in time, as this host’s link is late';
 /** A lender that did not answer is not asked for this long, or until it answers. */
 const LENDER_PAUSE_MILLISECONDS = 2_000;
 
 /** Brings tokens from other holders where the store gives none in time. */
 export class GrantBorrower {
-  private readonly silentLenders = new Map<string, number>();
-  private readonly unanswered = new UnansweredLoans();
-  private asked = 0;
+  private readonly pausedLenders = new Map<string, number>();
+  private readonly unansweredLoans = new UnansweredLoans();
+  private nextLoanNumber = 0;
 
   constructor(
     private readonly journal: BudgetJournal,
@@ -60,18 +60,18 @@
     }
     budget.isBorrowing = true;
     try {
-      await this.borrowFromSome(budget);
+      await this.borrowFromLenders(budget);
     } finally {
       budget.isBorrowing = false;
     }
-    this.refuseUnserved(budget);
+    this.refuseUnservable(budget);
   }
 
   /** The log tells of a loan to this process. */
-  recorded(budget: OrganisationBudget, {loan, amount}: RecordedLoan): void {
-    const found = this.unanswered.recorded(loan, amount);
+  loanRecorded(budget: OrganisationBudget, {loan, amount}: RecordedLoan): void {
+    const found = this.unansweredLoans.recorded(loan, amount);
     if (found > 0) {
-      this.credit(budget, loan, found);
+      this.creditRecoveredLoan(budget, loan, found);
     }
   }
 
@@ -79,16 +79,16 @@
    * Gives tokens to one of the holders, before this process ends. One that gives no
    * answer may have taken them, so that no other is asked then.
    */
-  async handOver(given: readonly GivenAmount[]): Promise<void> {
+  async handOver(given: readonly GrantAmount[]): Promise<void> {
     if (given.length === 0) {
       return;
     }
     const gift = {giver: this.journal.incarnation, given};
-    for (const address of this.otherHolders()) {
+    for (const address of this.responsiveHolders()) {
       try {
         if (
-          (await this.answers(address)) &&
-          (await this.peers.give(address, gift))
+          (await this.probe(address)) &&
+          (await this.peers.handOver(address, gift))
         ) {
           this.events.info('grants handed over', {
             taker: address,
@@ -112,34 +112,34 @@
   }
 
   /** Refuses what neither a loan nor the log is about to serve. */
-  private refuseUnserved(budget: OrganisationBudget): void {
-    if (budget.isBorrowing || budget.lateLoans > 0) {
+  private refuseUnservable(budget: OrganisationBudget): void {
+    if (budget.isBorrowing || budget.lateLoanCount > 0) {
       return;
     }
-    if (this.awaitsLog(budget)) {
+    if (this.expectsGrant(budget)) {
       return;
     }
     if (this.health.isAway) {
-      budget.waiters.refuseUndispatched(BudgetRefusal.StoreAway);
+      budget.waiters.refuseUndispatched(BudgetRefusal.StoreUnavailable);
     } else {
       budget.waiters.refuseFirst(BudgetRefusal.HeldElsewhere);
     }
   }
 
   /** Whether the log has enough for the first that waits, and is to give it. */
-  private awaitsLog(budget: OrganisationBudget): boolean {
+  private expectsGrant(budget: OrganisationBudget): boolean {
     const view = this.replica.fold.view(budget.name);
-    return this.answersCome() && budget.awaitsLog(view, budget.firstBound);
+    return this.isLogUsable() && budget.expectsGrant(view, budget.firstBound);
   }
 
   /** Whether the store answers, or has failed to for this host's own link alone. */
-  private answersCome(): boolean {
-    const awayFor = this.health.awayFor(this.clock.monotonicMilliseconds());
-    return !this.health.isOutage && awayFor < LINK_FAILURE_MILLISECONDS;
+  private isLogUsable(): boolean {
+    const failedFor = this.health.awayFor(this.clock.monotonicMilliseconds());
+    return !this.health.isOutage && failedFor < LINK_FAILURE_MILLISECONDS;
   }
 
   /** Whether a holder speaks; a loan of nothing is asked for, and none is given. */
-  private async answers(address: string): Promise<boolean> {
+  private async probe(address: string): Promise<boolean> {
     try {
       await this.peers.borrow(address, {
         organisation: '',
@@ -151,28 +151,28 @@
       });
       return true;
     } catch (error) {
-      this.noteSilent(address, '', error);
+      this.pauseLender(address, '', error);
       return false;
     }
   }
 
   /** Other holders, without those that were silent lately. */
-  private otherHolders(): readonly string[] {
+  private responsiveHolders(): readonly string[] {
     return [...this.replica.fold.holders.values()]
       .filter(({incarnation}) => incarnation !== this.journal.incarnation)
       .map(({address}) => address)
-      .filter(address => this.isSpeaking(address));
+      .filter(address => this.isResponsive(address));
   }
 
-  private isSpeaking(address: string): boolean {
+  private isResponsive(address: string): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return (this.silentLenders.get(address) ?? 0) <= now;
+    return (this.pausedLenders.get(address) ?? 0) <= now;
   }
 
-  private noteSilent(address: string, loan: string, error: unknown): void {
+  private pauseLender(address: string, loan: string, error: unknown): void {
     const until =
       this.clock.monotonicMilliseconds() + LENDER_PAUSE_MILLISECONDS;
-    this.silentLenders.set(address, until);
+    this.pausedLenders.set(address, until);
     this.events.warn('lender silent', {
       lender: address,
       loan,
@@ -180,20 +180,20 @@
     });
   }
 
-  private async borrowFromSome(budget: OrganisationBudget): Promise<void> {
+  private async borrowFromLenders(budget: OrganisationBudget): Promise<void> {
     const lenders = lendersOf(
       this.replica.fold,
       budget.name,
       this.journal.incarnation,
-    ).filter(({address}) => this.isSpeaking(address));
-    const most = Math.min(MOST_LENDERS, lenders.length);
-    for (let asked = 0; asked < most; asked += LENDERS_AT_ONCE) {
+    ).filter(({address}) => this.isResponsive(address));
+    const most = Math.min(MAXIMUM_LENDERS, lenders.length);
+    for (let asked = 0; asked < most; asked += CONCURRENT_LENDERS) {
       if (budget.waiters.count === 0) {
         return;
       }
       const next = lenders.slice(
         asked,
-        Math.min(most, asked + LENDERS_AT_ONCE),
+        Math.min(most, asked + CONCURRENT_LENDERS),
       );
       await Promise.all(
         next.map(({address}, index) =>
@@ -210,31 +210,31 @@
     inHandOnly: boolean,
   ): Promise<void> {
     const borrower = this.journal.incarnation;
-    const loan = `${borrower}.${this.asked++}`;
-    this.unanswered.asked(loan);
+    const loan = `${borrower}.${this.nextLoanNumber++}`;
+    this.unansweredLoans.requested(loan);
     const request = {
       organisation: budget.name,
       least: budget.firstShortfall,
-      wish: LOAN_FACTOR * budget.waiters.tokens,
+      wish: LOAN_SIZE_FACTOR * budget.waiters.tokens,
       borrower,
       loan,
-      inHandOnly: inHandOnly || this.awaitsLog(budget),
+      inHandOnly: inHandOnly || this.expectsGrant(budget),
     };
-    const awaitLate = (answer: Promise<number>) => {
+    const awaitLateAnswer = (answer: Promise<number>) => {
       void this.awaitLate(budget, address, loan, answer);
     };
     try {
-      const lent = await this.peers.borrow(address, request, awaitLate);
+      const lent = await this.peers.borrow(address, request, awaitLateAnswer);
       if (lent !== undefined) {
-        this.unanswered.answered(loan);
-        this.noteBorrowed(budget, address, loan, lent);
+        this.unansweredLoans.answered(loan);
+        this.creditLoan(budget, address, loan, lent);
       }
     } catch (error) {
-      this.lost(budget, address, loan, error);
+      this.answerLost(budget, address, loan, error);
     }
   }
 
-  private noteBorrowed(
+  private creditLoan(
     budget: OrganisationBudget,
     lender: string,
     loan: string,
@@ -252,34 +252,34 @@
     loan: string,
     answer: Promise<number>,
   ): Promise<void> {
-    budget.lateLoans++;
-    this.lost(budget, address, loan, LATE);
+    budget.lateLoanCount++;
+    this.answerLost(budget, address, loan, LATE_ANSWER_REASON);
     try {
-      const tokens = this.unanswered.answeredLate(loan, await answer);
-      this.silentLenders.delete(address);
-      this.noteBorrowed(budget, address, loan, tokens);
+      const tokens = this.unansweredLoans.answeredLate(loan, await answer);
+      this.pausedLenders.delete(address);
+      this.creditLoan(budget, address, loan, tokens);
     } catch (error) {
-      this.noteSilent(address, loan, error);
+      this.pauseLender(address, loan, error);
     } finally {
-      budget.lateLoans--;
-      this.refuseUnserved(budget);
+      budget.lateLoanCount--;
+      this.refuseUnservable(budget);
     }
   }
 
-  private lost(
+  private answerLost(
     budget: OrganisationBudget,
     address: string,
     loan: string,
     error: unknown,
   ): void {
-    this.noteSilent(address, loan, error);
-    const found = this.unanswered.lost(loan);
+    this.pauseLender(address, loan, error);
+    const found = this.unansweredLoans.answerLost(loan);
     if (found > 0) {
-      this.credit(budget, loan, found);
+      this.creditRecoveredLoan(budget, loan, found);
     }
   }
 
-  private credit(
+  private creditRecoveredLoan(
     budget: OrganisationBudget,
     loan: string,
     tokens: number,
--- a/packages/gateway/src/grant-lender.ts
+++ b/packages/gateway/src/grant-lender.ts
@@ -1,9 +1,9 @@
 import {loanFor} from '@wisteriadeal/budgets';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import type {BudgetBook} from './budget-book.js';
+import type {BudgetRegistry} from './budget-registry.js';
 import type {BudgetJournal} from './budget-journal.js';
-import type {Gift, LoanHolder, LoanRequest} from './loan-peers.js';
+import type {GrantHandover, LoanHolder, LoanRequest} from './loan-peers.js';
 import type {TokenReservations} from './token-reservations.js';
 
 /** The side of this process that other holders call. */
@@ -11,7 +11,7 @@
   private isClosing = false;
 
   constructor(
-    private readonly book: BudgetBook,
+    private readonly registry: BudgetRegistry,
     private readonly journal: BudgetJournal,
     private readonly reservations: TokenReservations,
     private readonly events: EventLog,
@@ -30,18 +30,18 @@
    */
   async lend(request: LoanRequest): Promise<number> {
     const {organisation, least, wish, borrower, loan, inHandOnly} = request;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (budget === undefined || this.isClosing) {
       return 0;
     }
-    const view = this.book.view(organisation);
+    const view = this.registry.view(organisation);
     if (
       !inHandOnly &&
       budget.account.available < least &&
       (view?.unallocated ?? 0) >= least &&
-      !this.book.health.isAway
+      !this.registry.health.isAway
     ) {
-      await this.reservations.fetch(budget, least);
+      await this.reservations.fetchForLoan(budget, least);
     }
     const lent = budget.account.debit(loanFor(budget.account, least, wish));
     if (lent > 0) {
@@ -62,12 +62,12 @@
   }
 
   /** Takes what a process has left that stops while the store is away. */
-  takeOver({giver, given}: Gift): boolean {
+  takeOver({giver, given}: GrantHandover): boolean {
     if (this.isClosing || !this.journal.isOpen) {
       return false;
     }
     for (const {organisation, amount} of given) {
-      this.book.get(organisation)?.credit(Math.max(0, amount));
+      this.registry.get(organisation)?.credit(Math.max(0, amount));
       this.events.info('grant taken over', {organisation, amount, giver});
     }
     return true;
--- a/packages/gateway/src/grant-planner.ts
+++ b/packages/gateway/src/grant-planner.ts
@@ -19,7 +19,7 @@
  * budget's end sends many times its usual. Harm without it: twice as many calls to the
  * store, each with the same answer.
  */
-const DENIED_MILLISECONDS = 250;
+const DENIAL_PAUSE_MILLISECONDS = 250;
 
 /** Decides what is asked of the log for each organisation, and takes its verdicts. */
 export class GrantPlanner {
@@ -38,28 +38,28 @@
 
   /** Asks for what an organisation's callers need, or gives back what they don't. */
   plan(budget: OrganisationBudget): void {
-    if (budget.isAsking) {
+    if (budget.isRequesting) {
       return;
     }
     const now = this.clock.monotonicMilliseconds();
     const {waiters} = budget;
     const view = this.replica.fold.view(budget.name);
     if (waiters.count > 0) {
-      if (budget.mayAskForWaiting(now)) {
-        this.askForWaiting(budget, view);
+      if (budget.mayRequestForWaiting(now)) {
+        this.requestForWaiting(budget, view);
       }
       return;
     }
-    const change = this.changeOf(budget, view, now);
-    this.giveBack(budget, change.giveBack);
-    const isRefillDue = change.wish > 0 && budget.refills.mayAsk(now);
-    if (isRefillDue || budget.isUntold || budget.isReportDue) {
-      this.ask(budget, change.wish, change.least, false);
+    const change = this.planChange(budget, view, now);
+    this.returnTokens(budget, change.giveBack);
+    const isRefillDue = change.wish > 0 && budget.refillPacing.mayRequest(now);
+    if (isRefillDue || budget.hasUnreportedBudget || budget.isReportDue) {
+      this.requestGrant(budget, change.wish, change.least, false);
     }
   }
 
   /** Returns tokens that no request has reserved, as many as there are. */
-  giveBack(budget: OrganisationBudget, tokens: number): void {
+  returnTokens(budget: OrganisationBudget, tokens: number): void {
     const amount = budget.account.debit(tokens);
     if (amount === 0) {
       return;
@@ -77,21 +77,21 @@
   }
 
   /** Takes the log's verdict on what was asked. */
-  take(budget: OrganisationBudget, verdict: GrantVerdict): void {
-    budget.isAsking = false;
+  applyVerdict(budget: OrganisationBudget, verdict: GrantVerdict): void {
+    budget.isRequesting = false;
     const now = this.clock.monotonicMilliseconds();
-    if (budget.askedForWaiting === undefined) {
-      budget.refills.decided(verdict.granted, now);
+    if (budget.requestedForWaiting === undefined) {
+      budget.refillPacing.recordVerdict(verdict.granted, now);
     }
     budget.credit(verdict.granted);
     if (verdict.granted > 0 || budget.waiters.count === 0) {
       return;
     }
     const view = this.replica.fold.view(budget.name);
-    if (!budget.isFirstDenied(view)) {
+    if (!budget.isFirstWaitingDenied(view)) {
       return;
     }
-    budget.askAfter = now + DENIED_MILLISECONDS;
+    budget.retryAt = now + DENIAL_PAUSE_MILLISECONDS;
     this.events.info('grant denied', {
       organisation: budget.name,
       bound: budget.firstBound,
@@ -101,19 +101,19 @@
       prepaid: view?.prepaid,
       offset: this.replica.fold.nextOffset,
     });
-    this.afterDenial(budget, view);
+    this.handleDenial(budget, view);
   }
 
-  private changeOf(
+  private planChange(
     {account, prepaid}: OrganisationBudget,
     view: BudgetView | undefined,
     now: number,
   ): GrantChange {
-    const usual = this.sizing.change(account, view, prepaid, now);
+    const planned = this.sizing.change(account, view, prepaid, now);
     const surplus = this.isLeaving ? leavingSurplus(account, view) : undefined;
     return surplus === undefined
-      ? usual
-      : {wish: 0, least: 0, giveBack: Math.max(surplus, usual.giveBack)};
+      ? planned
+      : {wish: 0, least: 0, giveBack: Math.max(surplus, planned.giveBack)};
   }
 
   /**
@@ -121,24 +121,29 @@
    * in hand as they may, and many requests come to one that has little. Harm of asking
    * for the first alone: each exchange with the store serves one request.
    */
-  private askForWaiting(
+  private requestForWaiting(
     budget: OrganisationBudget,
     view: BudgetView | undefined,
   ): void {
     const wish = budget.shortfallFor(budget.waiters.tokens);
     const coversAll = (view?.unallocated ?? 0) >= wish;
-    this.ask(budget, wish, coversAll ? wish : budget.firstShortfall, true);
+    this.requestGrant(
+      budget,
+      wish,
+      coversAll ? wish : budget.firstShortfall,
+      true,
+    );
   }
 
-  private ask(
+  private requestGrant(
     budget: OrganisationBudget,
     wish: number,
     least: number,
     urgent: boolean,
   ): void {
-    budget.isAsking = true;
-    budget.askedForWaiting = urgent ? least : undefined;
-    budget.isUntold = false;
+    budget.isRequesting = true;
+    budget.requestedForWaiting = urgent ? least : undefined;
+    budget.hasUnreportedBudget = false;
     budget.reportedSpent = budget.account.spent;
     this.journal.add({
       case: 'requested',
@@ -157,7 +162,7 @@
   }
 
   /** Others are asked only where they seem to hold what the log can't give. */
-  private afterDenial(
+  private handleDenial(
     budget: OrganisationBudget,
     view: BudgetView | undefined,
   ): void {
@@ -166,8 +171,8 @@
       budget.waiters.refuseFirst(BudgetRefusal.Exhausted);
       return;
     }
-    const heldByAll = (view?.rest ?? 0) - (view?.unallocated ?? 0);
-    if (heldByAll - budget.account.held >= budget.firstShortfall) {
+    const totalHeld = (view?.remaining ?? 0) - (view?.unallocated ?? 0);
+    if (totalHeld - budget.account.held >= budget.firstShortfall) {
       void this.borrower.borrow(budget);
     } else {
       budget.waiters.refuseFirst(BudgetRefusal.HeldElsewhere);
--- a/packages/gateway/src/keyed-follower.ts
+++ b/packages/gateway/src/keyed-follower.ts
@@ -31,7 +31,7 @@
 }
 
 /** Before a call that failed is made again; the store's own calls take 4 ms. */
-const RETRY_MILLISECONDS = 250;
+const RETRY_INTERVAL_MILLISECONDS = 250;
 
 /**
  * Follows the newest value of each key of a topic: the list first, then changes.
@@ -83,7 +83,7 @@
       waitMilliseconds,
     );
     range.records.forEach((bytes, index) => {
-      this.take(range.offset + index, bytes);
+      this.applyRecord(range.offset + index, bytes);
     });
     this.position = range.offset + range.records.length;
     if (this.position >= range.end) {
@@ -94,7 +94,7 @@
     await this.clock.sleep(pauseMilliseconds, this.stop.signal);
   }
 
-  private take(offset: number, bytes: Uint8Array): void {
+  private applyRecord(offset: number, bytes: Uint8Array): void {
     const record = this.log.keyedRecord(offset, bytes);
     if (record === undefined) {
       this.events.warn('record ignored', {
@@ -117,6 +117,6 @@
       return;
     }
     this.health.failed(this.clock.monotonicMilliseconds(), error);
-    await this.clock.sleep(RETRY_MILLISECONDS, this.stop.signal);
+    await this.clock.sleep(RETRY_INTERVAL_MILLISECONDS, this.stop.signal);
   }
 }
--- a/packages/gateway/src/loan-peers.ts
+++ b/packages/gateway/src/loan-peers.ts
@@ -33,7 +33,7 @@
  * Takes an answer that this host's own link holds up beyond its limit. It is rejected
  * once it is given up.
  */
-export type LateTaker = (answer: Promise<number>) => void;
+export type LateAnswerHandler = (answer: Promise<number>) => void;
 
 /** Other holders, as lenders. */
 export abstract class LoanPeers {
@@ -54,7 +54,7 @@
   abstract borrow(
     address: string,
     request: LoanRequest,
-    late?: LateTaker,
+    late?: LateAnswerHandler,
   ): Promise<number | undefined>;
 
   /**
@@ -64,20 +64,20 @@
    * @throws StepError where no answer came in time; the tokens are lost then, since
    *     they may have been taken.
    */
-  abstract give(address: string, gift: Gift): Promise<boolean>;
+  abstract handOver(address: string, gift: GrantHandover): Promise<boolean>;
 
   /** Ends open connections. */
   abstract close(): void;
 }
 
 /** What a stopping process gives, and by which incarnation. */
-export interface Gift {
+export interface GrantHandover {
   readonly giver: string;
-  readonly given: readonly GivenAmount[];
+  readonly given: readonly GrantAmount[];
 }
 
 /** Tokens of one organisation's budget. */
-export interface GivenAmount {
+export interface GrantAmount {
   readonly organisation: string;
   readonly amount: number;
 }
@@ -87,15 +87,15 @@
   /** Lends what it can spare; 0 for nothing. */
   lend(request: LoanRequest): Promise<number>;
   /** Takes what a stopping process has left; false where it stops itself. */
-  takeOver(gift: Gift): boolean;
+  takeOver(gift: GrantHandover): boolean;
 }
 
 /** A lender in another data centre answers within some 10 ms; a frozen one never. */
-const ANSWER_MILLISECONDS = 120;
+const ANSWER_TIMEOUT_MILLISECONDS = 120;
 /** A silent lender holds up all loans of an organisation for no longer. */
-const LONGEST_ANSWER_MILLISECONDS = 1_000;
+const MAXIMUM_ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 /** An answer that this host's own link holds up is awaited so long after its limit. */
-const LATE_ANSWER_MILLISECONDS = 5_000;
+const LATE_ANSWER_TIMEOUT_MILLISECONDS = 5_000;
 
 type Exchange<Answer> = (
   client: Client<typeof GrantLoanService>,
@@ -123,7 +123,7 @@
   override async borrow(
     address: string,
     request: LoanRequest,
-    late?: LateTaker,
+    late?: LateAnswerHandler,
   ): Promise<number | undefined> {
     return this.call(
       'borrow grant',
@@ -133,7 +133,10 @@
     );
   }
 
-  override async give(address: string, {giver, given}: Gift): Promise<boolean> {
+  override async handOver(
+    address: string,
+    {giver, given}: GrantHandover,
+  ): Promise<boolean> {
     const message = {giver, given: [...given]};
     const taken = await this.call(
       'give grant',
@@ -145,7 +148,7 @@
 
   override close(): void {
     for (const [address, peer] of [...this.peers]) {
-      this.drop(address, peer);
+      this.closePeer(address, peer);
     }
   }
 
@@ -162,18 +165,21 @@
       );
     };
     const limit = Math.min(
-      LONGEST_ANSWER_MILLISECONDS,
-      ANSWER_MILLISECONDS + this.linkDelay(address),
+      MAXIMUM_ANSWER_TIMEOUT_MILLISECONDS,
+      ANSWER_TIMEOUT_MILLISECONDS + this.linkDelay(address),
     );
     const answer = this.exchange(step, address, exchange, controller.signal);
-    if (await endsWithin(answer, limit)) {
+    if (await settlesWithin(answer, limit)) {
       return answer;
     }
     if (late === undefined || !this.link.isLate) {
       giveUp();
       return answer;
     }
-    const timeout = new NetworkTimeout(LATE_ANSWER_MILLISECONDS, giveUp);
+    const timeout = new NetworkTimeout(
+      LATE_ANSWER_TIMEOUT_MILLISECONDS,
+      giveUp,
+    );
     late(
       answer.finally(() => {
         timeout.close();
@@ -192,7 +198,7 @@
     try {
       return await exchange(peer.client, signal);
     } catch (error) {
-      this.drop(address, peer);
+      this.closePeer(address, peer);
       const reason = String(error);
       throw new StepError(step, address, Fate.Unknown, reason, {cause: error});
     }
@@ -221,7 +227,7 @@
   }
 
   /** A connection that gave no answer may be silent for good. */
-  private drop(address: string, peer: Peer): void {
+  private closePeer(address: string, peer: Peer): void {
     peer.connections.destroy();
     if (this.peers.get(address) === peer) {
       this.peers.delete(address);
@@ -230,7 +236,7 @@
 }
 
 /** Whether an answer or a failure comes within a time. */
-function endsWithin(
+function settlesWithin(
   work: Promise<unknown>,
   milliseconds: number,
 ): Promise<boolean> {
--- a/packages/gateway/src/loan-server.ts
+++ b/packages/gateway/src/loan-server.ts
@@ -9,7 +9,7 @@
  * Idle connections are kept so long: a call that crosses the close of one loses its
  * answer, and the lender is passed over for two seconds.
  */
-const IDLE_MILLISECONDS = 60_000;
+const KEEP_ALIVE_MILLISECONDS = 60_000;
 
 /**
  * Where other holders ask for loans and leave what they have at their end. It speaks
@@ -38,7 +38,7 @@
     const server = createServer((request, response) => {
       routes(request, response);
     });
-    server.keepAliveTimeout = IDLE_MILLISECONDS;
+    server.keepAliveTimeout = KEEP_ALIVE_MILLISECONDS;
     await listening(server, at);
     return new LoanServer(server, `${at.address}:${portOf(server)}`);
   }
--- a/packages/gateway/src/organisation-budget.ts
+++ b/packages/gateway/src/organisation-budget.ts
@@ -19,7 +19,7 @@
   {readonly reservation: Reservation} | {readonly refusal: BudgetRefusal};
 
 /** What of a new request decides on its tokens. */
-export interface TokenWish {
+export interface TokenRequest {
   /** The most that it can use. */
   readonly bound: number;
   /** Whether a request of which nothing is delivered costs nothing. */
@@ -41,24 +41,24 @@
  * Use beyond this part of a budget is told to the others. Harm without it: near a
  * budget's end, callers are told to come back for tokens that have been spent.
  */
-const REPORTED_PART = 0.01;
+const REPORT_THRESHOLD_PART = 0.01;
 
 /** One organisation's budget as this process holds it. */
 export class OrganisationBudget {
   readonly account = new GrantAccount();
   /** The fold has not been told of this configuration's budget. */
-  isUntold = true;
+  hasUnreportedBudget = true;
   /** A grant was asked for whose verdict is not known. */
-  isAsking = false;
+  isRequesting = false;
   /** The least that was last asked for requests that wait; else undefined. */
-  askedForWaiting: number | undefined;
+  requestedForWaiting: number | undefined;
   /** When the log may be asked for more in hand. */
-  readonly refills = new RefillPacing();
+  readonly refillPacing = new RefillPacing();
   isBorrowing = false;
   /** Loans whose answers are late at this host's own link and still awaited. */
-  lateLoans = 0;
+  lateLoanCount = 0;
   /** The log has denied a grant: it is not asked again before; monotonic clock. */
-  askAfter = 0;
+  retryAt = 0;
   /** What the fold was last told that this process has spent. */
   reportedSpent = 0;
   readonly waiters = new TokenWaiters();
@@ -94,13 +94,13 @@
   /**
    * Takes a new request's tokens where nobody waits before it.
    *
-   * @param kept Tokens that must be left in hand.
+   * @param minimumLeft Tokens that must be left in hand.
    */
-  reserveNow(bound: number, kept: number): Reservation | undefined {
+  tryReserve(bound: number, minimumLeft: number): Reservation | undefined {
     const {account, waiters} = this;
     if (
-      waiters.isAhead(TokenUse.Dispatch) ||
-      bound + kept > account.available ||
+      waiters.hasWaiterBefore(TokenUse.Dispatch) ||
+      bound + minimumLeft > account.available ||
       !account.reserve(bound, this.now())
     ) {
       return undefined;
@@ -109,18 +109,21 @@
   }
 
   /** Takes a new request's tokens when they come. */
-  async reserveLater(bound: number, limit: WaitLimit): Promise<ReserveResult> {
+  async reserveWhenAvailable(
+    bound: number,
+    limit: WaitLimit,
+  ): Promise<ReserveResult> {
     const waiting = {bound, use: TokenUse.Dispatch};
-    const refusal = await this.wait(waiting, limit);
+    const refusal = await this.waitForTokens(waiting, limit);
     return refusal === undefined
       ? {reservation: this.reservation(bound, ChargePoint.Dispatch)}
       : {refusal};
   }
 
   /** Takes promised tokens where no answer waits before this one. */
-  keepPromiseNow(bound: number): boolean {
+  tryReservePromised(bound: number): boolean {
     return (
-      !this.waiters.isAhead(TokenUse.Delivery) &&
+      !this.waiters.hasWaiterBefore(TokenUse.Delivery) &&
       this.account.keepPromise(bound)
     );
   }
@@ -130,12 +133,12 @@
    *
    * @returns Undefined once they are taken; else the promise stands.
    */
-  keepPromiseLater(
+  reservePromisedWhenAvailable(
     bound: number,
     limit: WaitLimit,
   ): Promise<BudgetRefusal | undefined> {
     const waiting = {bound, use: TokenUse.Delivery};
-    return this.wait(waiting, limit);
+    return this.waitForTokens(waiting, limit);
   }
 
   /** Adds tokens and serves those that wait, in order. */
@@ -157,7 +160,7 @@
   /** The others' view of this budget is too old to refuse by. */
   get isReportDue(): boolean {
     const untold = this.account.spent - this.reportedSpent;
-    return untold > REPORTED_PART * this.prepaid;
+    return untold > REPORT_THRESHOLD_PART * this.prepaid;
   }
 
   /** Whether what is known to be spent leaves too little, whoever holds the rest. */
@@ -168,31 +171,34 @@
   }
 
   /** Whether the log has enough for a request, and is asked now or next. */
-  awaitsLog(view: BudgetView | undefined, bound: number): boolean {
+  expectsGrant(view: BudgetView | undefined, bound: number): boolean {
     return (
-      (this.isAsking || this.mayAskForWaiting(this.now())) &&
+      (this.isRequesting || this.mayRequestForWaiting(this.now())) &&
       (view?.unallocated ?? 0) >= this.shortfallFor(bound)
     );
   }
 
   /** Whether requests wait and the log may be asked for them now. */
-  mayAskForWaiting(now: number): boolean {
-    return this.waiters.count > 0 && !this.isAsking && now >= this.askAfter;
+  mayRequestForWaiting(now: number): boolean {
+    return this.waiters.count > 0 && !this.isRequesting && now >= this.retryAt;
   }
 
   /**
    * Whether the log's denial of what was last asked denies the first that waits. What
    * was asked before it came, for more in hand, says nothing of it.
    */
-  isFirstDenied(view: BudgetView | undefined): boolean {
-    const {askedForWaiting, firstShortfall} = this;
+  isFirstWaitingDenied(view: BudgetView | undefined): boolean {
+    const {
+      requestedForWaiting: askedForWaiting,
+      firstShortfall: firstShortfall,
+    } = this;
     return (
       (view?.unallocated ?? 0) < firstShortfall ||
       (askedForWaiting !== undefined && askedForWaiting <= firstShortfall)
     );
   }
 
-  private wait(
+  private waitForTokens(
     waiting: Omit<TokenWaiter, 'done'>,
     limit: WaitLimit,
   ): Promise<BudgetRefusal | undefined> {
@@ -220,14 +226,14 @@
   private serveWaiting(): void {
     for (;;) {
       const {first} = this.waiters;
-      if (first === undefined || !this.takeFor(first)) {
+      if (first === undefined || !this.reserveFor(first)) {
         return;
       }
       this.waiters.remove(first);
     }
   }
 
-  private takeFor({bound, use}: TokenWaiter): boolean {
+  private reserveFor({bound, use}: TokenWaiter): boolean {
     return use === TokenUse.Delivery
       ? this.account.keepPromise(bound)
       : this.account.reserve(bound, this.now());
--- a/packages/gateway/src/store-health.ts
+++ b/packages/gateway/src/store-health.ts
@@ -4,17 +4,17 @@
 import type {LoopLag} from './loop-lag.js';
 
 /** A store that is well answers in some milliseconds. */
-const LONG_WAIT_MILLISECONDS = 250;
+const MAXIMUM_RESPONSIVE_MILLISECONDS = 250;
 /** A call is not late before this, however fast the store is. */
-const SHORTEST_LATE_MILLISECONDS = 60;
+const MINIMUM_LATE_MILLISECONDS = 60;
 /** A call is late after so many times the usual. */
 const LATE_FACTOR = 3;
 /** Calls over which the usual time falls; it rises with one. */
-const MEAN_CALLS = 8;
+const SMOOTHING_CALLS = 8;
 /** An exchange with the store is an append and a read. */
-const EXCHANGE_CALLS = 2;
+const CALLS_PER_EXCHANGE = 2;
 /** While calls fail this is told no more often. */
-const TELL_MILLISECONDS = 2_000;
+const LOG_INTERVAL_MILLISECONDS = 2_000;
 
 /** Delays of this host itself, which make the store's answers late. */
 export interface HostDelays {
@@ -37,11 +37,11 @@
   private lastAnswerAt: number | undefined;
   private failingSince: number | undefined;
   private failures = 0;
-  private toldAt = -Infinity;
+  private loggedAt = -Infinity;
   private hasOutage = false;
   private lastOutageEndedAt = -Infinity;
   private calledAt: number | undefined;
-  private usualMilliseconds = 0;
+  private typicalMilliseconds = 0;
 
   /**
    * @param topic What is followed, for logs.
@@ -84,13 +84,13 @@
 
   /** How much longer an exchange takes for this host's own link, milliseconds. */
   get linkDelayMilliseconds(): number {
-    return EXCHANGE_CALLS * (this.delays.link?.delayMilliseconds ?? 0);
+    return CALLS_PER_EXCHANGE * (this.delays.link?.delayMilliseconds ?? 0);
   }
 
   /** The newest call was made. */
   called(now: number): void {
     this.calledAt = now;
-    this.delays.lag?.start(LONG_WAIT_MILLISECONDS);
+    this.delays.lag?.start(MAXIMUM_RESPONSIVE_MILLISECONDS);
   }
 
   /**
@@ -98,11 +98,11 @@
    * the first call that shows it times out a second later. Harm of going by failed
    * calls alone: all that while requests begin on tokens that do not come.
    */
-  isAtHand(now: number): boolean {
+  isResponsive(now: number): boolean {
     return (
       !this.isAway &&
       this.lastAnswerAt !== undefined &&
-      this.waited(now) < LONG_WAIT_MILLISECONDS
+      this.waitedMilliseconds(now) < MAXIMUM_RESPONSIVE_MILLISECONDS
     );
   }
 
@@ -113,18 +113,18 @@
    *
    * @returns Milliseconds; 0 where it is late, or the store is away.
    */
-  lateIn(now: number): number {
+  millisecondsUntilLate(now: number): number {
     if (this.isAway) {
       return 0;
     }
     const late = Math.min(
-      LONG_WAIT_MILLISECONDS,
+      MAXIMUM_RESPONSIVE_MILLISECONDS,
       Math.max(
-        SHORTEST_LATE_MILLISECONDS,
-        LATE_FACTOR * this.usualMilliseconds,
+        MINIMUM_LATE_MILLISECONDS,
+        LATE_FACTOR * this.typicalMilliseconds,
       ),
     );
-    return Math.max(0, late - this.waited(now));
+    return Math.max(0, late - this.waitedMilliseconds(now));
   }
 
   /** A call was answered. */
@@ -132,8 +132,9 @@
     this.delays.lag?.stop();
     if (this.calledAt !== undefined) {
       const took = now - this.calledAt;
-      const change = took - this.usualMilliseconds;
-      this.usualMilliseconds += change > 0 ? change : change / MEAN_CALLS;
+      const change = took - this.typicalMilliseconds;
+      this.typicalMilliseconds +=
+        change > 0 ? change : change / SMOOTHING_CALLS;
     }
     this.calledAt = undefined;
     if (this.failingSince !== undefined) {
@@ -160,7 +161,7 @@
     if (this.failingSince === undefined) {
       this.failingSince = now;
       this.failures = 1;
-      this.toldAt = now;
+      this.loggedAt = now;
       this.events.warn('store lost', {
         topic: this.topic,
         reason: String(error),
@@ -169,8 +170,8 @@
       return;
     }
     this.failures++;
-    if (now - this.toldAt >= TELL_MILLISECONDS) {
-      this.toldAt = now;
+    if (now - this.loggedAt >= LOG_INTERVAL_MILLISECONDS) {
+      this.loggedAt = now;
       this.events.warn('store still lost', {
         topic: this.topic,
         awayMilliseconds: Math.round(this.awayFor(now)),
@@ -182,7 +183,7 @@
   }
 
   /** How long the newest call has waited, without this host's delays, milliseconds. */
-  private waited(now: number): number {
+  private waitedMilliseconds(now: number): number {
     return this.calledAt === undefined
       ? 0
       : now -
--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -3,10 +3,10 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
 import type {BudgetHolder} from '../budget-holder.js';
-import type {TokenWish} from '../organisation-budget.js';
+import type {TokenRequest} from '../organisation-budget.js';
 import {BudgetRefusal} from '../token-waiters.js';
 import {BUDGET_PARTITION} from '../budget-topics.js';
-import {HolderFleet, SCHOOL, until} from './holder-fleet.js';
+import {HolderFleet, SCHOOL, waitUntil} from './holder-fleet.js';
 
 const PREPAID = 100_000;
 const REQUEST = 2_500;
@@ -14,7 +14,10 @@
 /** Longer than a holder's pause between two reads of the log. */
 const LONGER_THAN_POLL_MILLISECONDS = 900;
 /** From one read of the log by an idle holder to the next, milliseconds. */
-const EVERY_MOMENT_OF_POLLS = Array.from({length: 70}, (_, step) => 10 * step);
+const POLL_OFFSETS_MILLISECONDS = Array.from(
+  {length: 70},
+  (_, step) => 10 * step,
+);
 const WAIT = {milliseconds: 3_000, signal: new AbortController().signal};
 
 let fleet: HolderFleet;
@@ -38,7 +41,7 @@
 }
 
 /** Lets the test's own time pass until something is done. */
-async function inHeldTime<Result>(work: Promise<Result>): Promise<Result> {
+async function withFakeTimers<Result>(work: Promise<Result>): Promise<Result> {
   const ended = new AbortController();
   const end = () => {
     ended.abort();
@@ -50,33 +53,33 @@
   return work;
 }
 
-function wish(bound: number, mayPromise: boolean): TokenWish {
+function tokenRequest(bound: number, mayPromise: boolean): TokenRequest {
   return {bound, mayPromise};
 }
 
 /** Cuts hosts off from the log, and waits until each has seen it. */
-async function cutOff(hosts: readonly string[]): Promise<void> {
-  hosts.forEach(host => fleet.cutOff.add(host));
+async function isolateHosts(hosts: readonly string[]): Promise<void> {
+  hosts.forEach(host => fleet.isolatedHosts.add(host));
   const isLost = (host: string) =>
     fleet.events.some(
       line => line.event === 'store lost' && line.host === host,
     );
-  await until(() => hosts.every(isLost));
+  await waitUntil(() => hosts.every(isLost));
 }
 
 /** Blocks the process, as a machine that is busy elsewhere does. */
-function holdUp(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
   const never = new Int32Array(new SharedArrayBuffer(4));
   Atomics.wait(never, 0, 0, milliseconds);
 }
 
 /** Blocks the process after each first read of the log by a holder. */
-function holdUpAfterFirstReads(milliseconds: number): void {
+function blockAfterInitialReads(milliseconds: number): void {
   const {log} = fleet;
   const newest = log.newest.bind(log);
   log.newest = async partition => {
     const records = await newest(partition);
-    holdUp(milliseconds);
+    blockEventLoop(milliseconds);
     return records;
   };
 }
@@ -88,8 +91,11 @@
 }
 
 /** One request that uses its whole bound; whether it was let in. */
-async function use(holder: BudgetHolder, tokens: number): Promise<boolean> {
-  const result = await holder.reservations.reserve(SCHOOL, wish(tokens, false));
+async function spend(holder: BudgetHolder, tokens: number): Promise<boolean> {
+  const result = await holder.reservations.reserve(
+    SCHOOL,
+    tokenRequest(tokens, false),
+  );
   if ('refusal' in result) {
     return false;
   }
@@ -98,12 +104,15 @@
 }
 
 /** One request that uses a part of its bound within a second. */
-async function usePart(
+async function spendPart(
   holder: BudgetHolder,
   bound: number,
   used: number,
 ): Promise<void> {
-  const result = await holder.reservations.reserve(SCHOOL, wish(bound, false));
+  const result = await holder.reservations.reserve(
+    SCHOOL,
+    tokenRequest(bound, false),
+  );
   await new Promise(resolve => setTimeout(resolve, 1_000));
   if ('reservation' in result) {
     holder.reservations.settle(result.reservation, used);
@@ -117,9 +126,9 @@
     // twentieth of each budget each time.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
-    await until(() => available(stopping) > 0 && available(staying) > 0);
+    await waitUntil(() => available(stopping) > 0 && available(staying) > 0);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
@@ -136,9 +145,9 @@
     // spent, also what another holder has taken over and spends.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
-    await until(() => available(stopping) > 0);
+    await waitUntil(() => available(stopping) > 0);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
@@ -149,7 +158,7 @@
     const successor = await fleet.start('one');
     let spent = 0;
     for (const holder of [staying, successor, staying, successor]) {
-      while (await use(holder, REQUEST)) {
+      while (await spend(holder, REQUEST)) {
         spent += REQUEST;
       }
     }
@@ -163,35 +172,35 @@
     // that says nothing at all is named as the reason, and not others' hands.
     const holder = await fleet.start('one');
     await fleet.start('two');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     fleet.log.faults.answerAfterMilliseconds = 150;
-    expect(await use(holder, 40_000)).toBe(true);
+    expect(await spend(holder, 40_000)).toBe(true);
     fleet.log.faults.answerAfterMilliseconds = 1_000;
     expect(
-      await holder.reservations.reserve(SCHOOL, wish(30_000, false)),
+      await holder.reservations.reserve(SCHOOL, tokenRequest(30_000, false)),
     ).toEqual({
-      refusal: BudgetRefusal.StoreAway,
+      refusal: BudgetRefusal.StoreUnavailable,
     });
   });
 
-  it.each(EVERY_MOMENT_OF_POLLS)(
+  it.each(POLL_OFFSETS_MILLISECONDS)(
     'waits for a slow store that has enough, at each moment of others’ polls (%i ms)',
     async laterMilliseconds => {
       // Guards against a lender that fetches what the borrower has asked the store for.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(fleet.start('two'));
-      await inHeldTime(until(() => available(holder) > 0));
+      const holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(fleet.start('two'));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
       await vi.advanceTimersByTimeAsync(laterMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
-      expect(await inHeldTime(use(holder, 40_000))).toBe(true);
+      expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
       fleet.log.faults.answerAfterMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(late)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(late)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
     },
   );
@@ -203,27 +212,29 @@
       // answer, as it does on slow days; the other hosts have nothing to lend. A store
       // that says nothing at all is named as the reason, and not others' hands.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      const other = await inHeldTime(fleet.start('two'));
+      const holder = await withFakeTimers(fleet.start('one'));
+      const other = await withFakeTimers(fleet.start('two'));
       const haveUsualGrants = () =>
         [holder, other].every(
           one => available(one) > 0 && available(one) < LARGE_REQUEST / 2,
         );
-      await inHeldTime(until(haveUsualGrants));
+      await withFakeTimers(waitUntil(haveUsualGrants));
       await vi.advanceTimersByTimeAsync(laterMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
-      expect(await inHeldTime(use(holder, 40_000))).toBe(true);
+      expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
       // A lender that sees the store fetches tokens, too late here, and returns them.
-      await inHeldTime(
-        until(() => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST),
+      await withFakeTimers(
+        waitUntil(
+          () => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST,
+        ),
       );
       fleet.log.faults.answerAfterMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(late)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(late)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
     },
   );
@@ -233,16 +244,16 @@
     async lateMilliseconds => {
       // Guards against refusals before the log was asked for tokens that it has.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(fleet.start('two'));
-      await inHeldTime(until(() => holder.holders === 2));
-      await inHeldTime(until(() => available(holder) > 0));
+      const holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(fleet.start('two'));
+      await withFakeTimers(waitUntil(() => holder.holders === 2));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
       await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
       const reading = vi.spyOn(fleet.log, 'read');
       fleet.log.faults.answerAfterMilliseconds = 200;
-      await inHeldTime(until(() => reading.mock.calls.length === 2));
+      await withFakeTimers(waitUntil(() => reading.mock.calls.length === 2));
       await vi.advanceTimersByTimeAsync(lateMilliseconds);
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     },
   );
 
@@ -252,27 +263,27 @@
 
     beforeEach(async () => {
       vi.useFakeTimers();
-      holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(until(() => available(holder) > 0));
+      holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
       fleet.link.delayMilliseconds = DELAY_MILLISECONDS;
       fleet.log.faults.answerAfterMilliseconds = DELAY_MILLISECONDS;
     });
 
     it('waits for a grant as long as it takes to come', async () => {
       // Guards against refusals for tokens that nobody has been granted.
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
     it('waits for a grant although a call has timed out', async () => {
       // Guards against an outage that is made of a late answer.
       vi.spyOn(fleet.log, 'read').mockRejectedValueOnce(callTimeout());
-      await inHeldTime(
-        until(() => fleet.events.some(({event}) => event === 'store lost')),
+      await withFakeTimers(
+        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
       );
       expect(fleet.events).toContainEqual(
         expect.objectContaining({event: 'store lost', isLinkDelay: true}),
       );
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
     it('refuses at once after calls have timed out for seconds', async () => {
@@ -280,17 +291,17 @@
       vi.spyOn(fleet.log, 'read').mockImplementation(() =>
         Promise.reject(callTimeout()),
       );
-      await inHeldTime(
-        until(() => fleet.events.some(({event}) => event === 'store lost')),
+      await withFakeTimers(
+        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
       );
       await vi.advanceTimersByTimeAsync(3_000);
       const startedAt = performance.now();
       const refused = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(refused)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(refused)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
       expect(performance.now() - startedAt).toBeLessThan(100);
     });
@@ -299,10 +310,10 @@
       // Guards against callers that are told too late to come back.
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...wish(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST, false),
         remainingMilliseconds: 600,
       });
-      expect(await inHeldTime(late)).toHaveProperty('refusal');
+      expect(await withFakeTimers(late)).toHaveProperty('refusal');
       expect(performance.now() - startedAt).toBeLessThanOrEqual(601);
     });
 
@@ -312,10 +323,10 @@
       fleet.log.faults.answerAfterMilliseconds = 5_000;
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...wish(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST, false),
         remainingMilliseconds: 10_000,
       });
-      expect(await inHeldTime(late)).toHaveProperty('refusal');
+      expect(await withFakeTimers(late)).toHaveProperty('refusal');
       expect(performance.now() - startedAt).toBeLessThanOrEqual(1_501);
     });
 
@@ -324,8 +335,11 @@
       await vi.advanceTimersByTimeAsync(2 * DELAY_MILLISECONDS);
       for (let step = 0; step < 20; step++) {
         await vi.advanceTimersByTimeAsync(100);
-        const begun = holder.reservations.reserve(SCHOOL, wish(REQUEST, true));
-        expect(await inHeldTime(begun)).toMatchObject({
+        const begun = holder.reservations.reserve(
+          SCHOOL,
+          tokenRequest(REQUEST, true),
+        );
+        expect(await withFakeTimers(begun)).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
         });
       }
@@ -335,16 +349,16 @@
   it('has one lender at a time ask the store for what a cut-off host needs', async () => {
     // Guards against refusals elsewhere for tokens that were fetched several times.
     vi.useFakeTimers();
-    const borrower = await inHeldTime(fleet.start('one'));
+    const borrower = await withFakeTimers(fleet.start('one'));
     const others: BudgetHolder[] = [];
     for (const host of ['two', 'three', 'four']) {
-      others.push(await inHeldTime(fleet.start(host)));
+      others.push(await withFakeTimers(fleet.start(host)));
     }
     const all = [borrower, ...others];
-    await inHeldTime(until(() => all.every(one => available(one) > 0)));
+    await withFakeTimers(waitUntil(() => all.every(one => available(one) > 0)));
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    await inHeldTime(cutOff(['one']));
-    expect(await inHeldTime(use(borrower, LARGE_REQUEST))).toBe(true);
+    await withFakeTimers(isolateHosts(['one']));
+    expect(await withFakeTimers(spend(borrower, LARGE_REQUEST))).toBe(true);
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     const held = all.reduce((sum, one) => sum + available(one), 0);
     expect(held).toBeLessThan(LARGE_REQUEST);
@@ -356,57 +370,57 @@
     const names = ['one', 'two', 'three', 'four', 'five', 'six'];
     const all: BudgetHolder[] = [];
     for (const host of names) {
-      all.push(await inHeldTime(fleet.start(host)));
+      all.push(await withFakeTimers(fleet.start(host)));
     }
-    await inHeldTime(until(() => all.every(one => available(one) > 0)));
+    await withFakeTimers(waitUntil(() => all.every(one => available(one) > 0)));
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    await inHeldTime(cutOff(names.slice(0, 4)));
+    await withFakeTimers(isolateHosts(names.slice(0, 4)));
     for (const holder of all.slice(0, 4)) {
-      expect(await inHeldTime(use(holder, 10_000))).toBe(true);
+      expect(await withFakeTimers(spend(holder, 10_000))).toBe(true);
     }
   });
 
   it('serves all that wait at once while other holders have all that is kept in hand', async () => {
     // Guards against a grant for one request in each exchange with a store that is late.
     vi.useFakeTimers();
-    const holder = await inHeldTime(fleet.start('one'));
-    const busy = await inHeldTime(fleet.start('two'));
+    const holder = await withFakeTimers(fleet.start('one'));
+    const busy = await withFakeTimers(fleet.start('two'));
     for (let request = 0; request < 12; request++) {
-      expect(await inHeldTime(use(busy, 2_000))).toBe(true);
+      expect(await withFakeTimers(spend(busy, 2_000))).toBe(true);
       await vi.advanceTimersByTimeAsync(100);
     }
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     fleet.link.delayMilliseconds = 300;
     fleet.log.faults.answerAfterMilliseconds = 300;
-    const waiting = Array.from({length: 20}, () => use(holder, 2_000));
+    const waiting = Array.from({length: 20}, () => spend(holder, 2_000));
     expect(unallocated(holder)).toBeGreaterThan(20 * 2_000);
-    const served = await inHeldTime(Promise.all(waiting));
+    const served = await withFakeTimers(Promise.all(waiting));
     expect(served.filter(isServed => isServed)).toHaveLength(20);
   });
 
   it('leaves the end of a budget to the hosts that its callers are led to', async () => {
     // Guards against refusals while a host without callers keeps the last tokens.
     vi.useFakeTimers();
-    const leaving = await inHeldTime(fleet.start('one'));
-    const holder = await inHeldTime(fleet.start('two'));
+    const leaving = await withFakeTimers(fleet.start('one'));
+    const holder = await withFakeTimers(fleet.start('two'));
     const running: Promise<void>[] = [];
     while (unallocated(leaving) > 2_000) {
-      running.push(usePart(leaving, 4_000, 2_000));
+      running.push(spendPart(leaving, 4_000, 2_000));
       await vi.advanceTimersByTimeAsync(100);
     }
-    await inHeldTime(Promise.all(running));
+    await withFakeTimers(Promise.all(running));
     vi.spyOn(leaving.lender, 'lend').mockRejectedValue(new Error('silent'));
     leaving.setLeaving(true);
     expect(available(leaving)).toBeGreaterThan(10_000);
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    expect(await inHeldTime(use(holder, 10_000))).toBe(true);
+    expect(await withFakeTimers(spend(holder, 10_000))).toBe(true);
   });
 
   it('keeps what it holds while its callers are led away and the log has plenty', async () => {
     // Guards against records that help nobody.
     vi.useFakeTimers();
-    const holder = await inHeldTime(fleet.start('one'));
-    await inHeldTime(until(() => available(holder) > 0));
+    const holder = await withFakeTimers(fleet.start('one'));
+    await withFakeTimers(waitUntil(() => available(holder) > 0));
     await vi.advanceTimersByTimeAsync(2 * LONGER_THAN_POLL_MILLISECONDS);
     const before = available(holder);
     const appending = vi.spyOn(fleet.log, 'append');
@@ -419,11 +433,11 @@
   it('serves a request that comes while the log denies more in hand', async () => {
     // Callers were refused, or waited for loans, though the log had their tokens.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0.05 * PREPAID);
+    await waitUntil(() => available(holder) > 0.05 * PREPAID);
     fleet.log.faults.answerAfterMilliseconds = 40;
     fleet.changeBudget(PREPAID + 1);
     await new Promise(resolve => setTimeout(resolve, 10));
-    expect(await use(holder, available(holder) + 20_000)).toBe(true);
+    expect(await spend(holder, available(holder) + 20_000)).toBe(true);
   });
 
   it('leaves a successor few records to read', async () => {
@@ -435,7 +449,7 @@
     await fleet.start('three');
     const foreign = Array.from({length: 1_000}, () => Uint8Array.of(0xff));
     await fleet.log.append(BUDGET_PARTITION, foreign);
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(({event}) => event === 'budget checkpoint written'),
     );
     await fleet.start('four');
@@ -456,35 +470,35 @@
       const borrower = await fleet.start('one');
       const lender = await fleet.start('two');
       for (let request = 0; request < 4; request++) {
-        expect(await use(lender, REQUEST)).toBe(true);
+        expect(await spend(lender, REQUEST)).toBe(true);
       }
       if (heldMilliseconds > 0) {
         // Both holders' reads are due at once.
-        holdUp(LONGER_THAN_POLL_MILLISECONDS);
-        holdUpAfterFirstReads(heldMilliseconds);
+        blockEventLoop(LONGER_THAN_POLL_MILLISECONDS);
+        blockAfterInitialReads(heldMilliseconds);
       }
-      await until(() => available(lender) > 2 * REQUEST);
+      await waitUntil(() => available(lender) > 2 * REQUEST);
       // A holder knows the others from the log alone.
-      await until(() => borrower.holders === 2);
+      await waitUntil(() => borrower.holders === 2);
       fleet.log.faults.isAway = true;
-      await until(() =>
+      await waitUntil(() =>
         fleet.events.some(
           ({event, host}) => event === 'store lost' && host === 'one',
         ),
       );
       fleet.faults.losesAnswers = true;
       const before = available(borrower) + available(lender);
-      expect(await use(borrower, available(borrower) + REQUEST)).toBe(false);
+      expect(await spend(borrower, available(borrower) + REQUEST)).toBe(false);
       const lost = before - available(borrower) - available(lender);
       expect(lost).toBeGreaterThan(REQUEST);
       fleet.log.faults.isAway = false;
-      await until(() =>
+      await waitUntil(() =>
         fleet.events.some(({event}) => event === 'lost loan found on the log'),
       );
       fleet.faults.losesAnswers = false;
       let spent = 4 * REQUEST;
       for (const holder of [borrower, lender, borrower]) {
-        while (await use(holder, REQUEST)) {
+        while (await spend(holder, REQUEST)) {
           spent += REQUEST;
         }
       }
@@ -497,27 +511,27 @@
     const borrower = await fleet.start('one');
     const lender = await fleet.start('two');
     for (let request = 0; request < 4; request++) {
-      expect(await use(lender, REQUEST)).toBe(true);
+      expect(await spend(lender, REQUEST)).toBe(true);
     }
-    await until(() => available(lender) > 2 * REQUEST);
-    await until(() => borrower.holders === 2);
+    await waitUntil(() => available(lender) > 2 * REQUEST);
+    await waitUntil(() => borrower.holders === 2);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
     );
     fleet.link.delayMilliseconds = 200;
-    fleet.faults.answersLateMilliseconds = 300;
+    fleet.faults.answerDelayMilliseconds = 300;
     const large = available(borrower) + REQUEST;
-    expect(await use(borrower, large)).toBe(true);
+    expect(await spend(borrower, large)).toBe(true);
     // The lender that has answered is asked again at once.
     const another = available(borrower) + REQUEST;
-    expect(await use(borrower, another)).toBe(true);
-    fleet.faults.answersLateMilliseconds = 0;
+    expect(await spend(borrower, another)).toBe(true);
+    fleet.faults.answerDelayMilliseconds = 0;
     fleet.link.delayMilliseconds = 0;
     fleet.log.faults.isAway = false;
-    await until(() =>
+    await waitUntil(() =>
       ['one', 'two'].every(host =>
         fleet.events.some(
           ({event, host: of}) => event === 'store regained' && of === host,
@@ -526,7 +540,7 @@
     );
     let spent = 4 * REQUEST + large + another;
     for (const holder of [borrower, lender, borrower]) {
-      while (await use(holder, REQUEST)) {
+      while (await spend(holder, REQUEST)) {
         spent += REQUEST;
       }
     }
@@ -538,12 +552,12 @@
     // The caller sees: after all hosts lost power at once, its budget is there. Each
     // host runs requests whose first event has not come, and promised their tokens.
     const holders = [await fleet.start('one'), await fleet.start('two')];
-    await until(() => holders.every(holder => available(holder) > 0));
+    await waitUntil(() => holders.every(holder => available(holder) > 0));
     for (const holder of holders) {
       for (let request = 0; request < 10; request++) {
         const result = await holder.reservations.reserve(
           SCHOOL,
-          wish(REQUEST, true),
+          tokenRequest(REQUEST, true),
         );
         expect(result).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
@@ -555,7 +569,7 @@
     fleet.kill('two');
     const successor = await fleet.start('one');
     await fleet.start('two');
-    await until(() => available(successor) > 0);
+    await waitUntil(() => available(successor) > 0);
     expect(successor.describe(SCHOOL)?.spentKnown).toBeLessThanOrEqual(held);
     expect(
       fleet.events.filter(
@@ -568,9 +582,12 @@
     // The caller sees its whole answer. Its bound is more than the host has in hand,
     // the store has it, and the answer waits for one exchange with the store.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(SCHOOL, wish(bound, true));
+    const begun = await holder.reservations.reserve(
+      SCHOOL,
+      tokenRequest(bound, true),
+    );
     expect('reservation' in begun).toBe(true);
     if ('reservation' in begun) {
       const taken = await holder.reservations.take(begun.reservation, WAIT);
@@ -589,15 +606,20 @@
     // request runs, and the host has too little in hand; a request that comes then is
     // refused at once as not run.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(SCHOOL, wish(bound, true));
+    const begun = await holder.reservations.reserve(
+      SCHOOL,
+      tokenRequest(bound, true),
+    );
     fleet.log.faults.isAway = true;
-    await until(() => fleet.events.some(({event}) => event === 'store lost'));
+    await waitUntil(() =>
+      fleet.events.some(({event}) => event === 'store lost'),
+    );
     expect(
-      await holder.reservations.reserve(SCHOOL, wish(bound, true)),
+      await holder.reservations.reserve(SCHOOL, tokenRequest(bound, true)),
     ).toEqual({
-      refusal: BudgetRefusal.StoreAway,
+      refusal: BudgetRefusal.StoreUnavailable,
     });
     if ('reservation' in begun) {
       const taken = holder.reservations.take(begun.reservation, WAIT);
@@ -611,10 +633,10 @@
     // Tokens that come later go to others: the caller closed its connection while its
     // answer waited for the store.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
       SCHOOL,
-      wish(available(holder) + 20_000, true),
+      tokenRequest(available(holder) + 20_000, true),
     );
     fleet.log.faults.isAway = true;
     const leaving = new AbortController();
@@ -635,10 +657,10 @@
     // The next caller is served: nobody stands before it in line whose connection is
     // closed already.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
       SCHOOL,
-      wish(available(holder) + 20_000, true),
+      tokenRequest(available(holder) + 20_000, true),
     );
     const left = {...WAIT, signal: AbortSignal.abort()};
     if ('reservation' in begun) {
@@ -647,6 +669,6 @@
       holder.reservations.settle(taken.reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
-    expect(await use(holder, REQUEST)).toBe(true);
+    expect(await spend(holder, REQUEST)).toBe(true);
   });
 });
--- a/packages/gateway/src/test/grant-planner_test.ts
+++ b/packages/gateway/src/test/grant-planner_test.ts
@@ -45,7 +45,7 @@
 
   it('asks the log only for the shortfall of a waiting request', async () => {
     // Asking for the whole bound is denied when no single share covers it.
-    const reserved = budget.reserveLater(BOUND, LIMIT);
+    const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
     planner.plan(budget);
     expect(asked).toMatchObject([
       {case: 'requested', value: {least: BOUND - AVAILABLE}},
@@ -57,7 +57,7 @@
   it('does not count promised tokens as available to a waiting request', async () => {
     // Guards against serving a new request with the tokens of one that has begun.
     budget.promise(AVAILABLE);
-    const reserved = budget.reserveLater(BOUND, LIMIT);
+    const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
     planner.plan(budget);
     expect(asked).toMatchObject([{case: 'requested', value: {least: BOUND}}]);
     budget.credit(BOUND);
--- a/packages/gateway/src/test/holder-fleet.ts
+++ b/packages/gateway/src/test/holder-fleet.ts
@@ -15,8 +15,8 @@
 import type {FleetConfiguration} from '../configuration.js';
 import {
   LoanPeers,
-  type Gift,
-  type LateTaker,
+  type GrantHandover,
+  type LateAnswerHandler,
   type LoanRequest,
 } from '../loan-peers.js';
 import {LoopLag} from '../loop-lag.js';
@@ -31,7 +31,7 @@
   /** Answers to loans are lost after the lender took the tokens off. */
   losesAnswers: boolean;
   /** Answers to loans come so long after their limit; 0 for in time. */
-  answersLateMilliseconds: number;
+  answerDelayMilliseconds: number;
 }
 
 /** Calls holders of the same process, by their addresses. */
@@ -46,11 +46,11 @@
   override async borrow(
     address: string,
     request: LoanRequest,
-    late?: LateTaker,
+    late?: LateAnswerHandler,
   ): Promise<number | undefined> {
-    const {losesAnswers, answersLateMilliseconds} = this.faults;
+    const {losesAnswers, answerDelayMilliseconds} = this.faults;
     const lent = await this.holder(address).lender.lend(request);
-    const isLate = answersLateMilliseconds > 0;
+    const isLate = answerDelayMilliseconds > 0;
     if (losesAnswers || (isLate && late === undefined)) {
       throw new StepError('borrow grant', address, Fate.Unknown, 'lost');
     }
@@ -59,13 +59,13 @@
     }
     late?.(
       new Promise(resolve => {
-        setTimeout(resolve, answersLateMilliseconds, lent);
+        setTimeout(resolve, answerDelayMilliseconds, lent);
       }),
     );
     return undefined;
   }
 
-  override give(address: string, gift: Gift): Promise<boolean> {
+  override handOver(address: string, gift: GrantHandover): Promise<boolean> {
     return Promise.resolve(this.holder(address).lender.takeOver(gift));
   }
 
@@ -83,28 +83,28 @@
 }
 
 /** The log as one host reaches it: not at all while that host is cut off. */
-class LogOfHost extends PartitionedLog {
+class HostLog extends PartitionedLog {
   constructor(
     private readonly log: MemoryPartitionedLog,
-    private readonly isCutOff: () => boolean,
+    private readonly isIsolated: () => boolean,
   ) {
     super();
   }
 
   override append(partition: Partition, records: readonly Uint8Array[]) {
-    return this.reached(() => this.log.append(partition, records));
+    return this.callLog(() => this.log.append(partition, records));
   }
 
   override read(partition: Partition, from: number, waitMilliseconds: number) {
-    return this.reached(() => this.log.read(partition, from, waitMilliseconds));
+    return this.callLog(() => this.log.read(partition, from, waitMilliseconds));
   }
 
   override newest(partition: Partition) {
-    return this.reached(() => this.log.newest(partition));
+    return this.callLog(() => this.log.newest(partition));
   }
 
   override put(partition: Partition, key: string, value?: Uint8Array) {
-    return this.reached(() => this.log.put(partition, key, value));
+    return this.callLog(() => this.log.put(partition, key, value));
   }
 
   override keyedRecord(offset: number, record: Uint8Array) {
@@ -115,8 +115,8 @@
     // The log is the fleet's.
   }
 
-  private reached<Value>(call: () => Promise<Value>): Promise<Value> {
-    return this.isCutOff()
+  private callLog<Value>(call: () => Promise<Value>): Promise<Value> {
+    return this.isIsolated()
       ? Promise.reject(new StepError('reach log', '', Fate.NotDone, 'cut off'))
       : call();
   }
@@ -127,13 +127,13 @@
   readonly log = new MemoryPartitionedLog();
   readonly faults: PeerFaults = {
     losesAnswers: false,
-    answersLateMilliseconds: 0,
+    answerDelayMilliseconds: 0,
   };
   /** Of every host. */
   readonly link = new FakeHostLink();
   readonly events: Record<string, unknown>[] = [];
   /** Hosts that do not reach the log. */
-  readonly cutOff = new Set<string>();
+  readonly isolatedHosts = new Set<string>();
   private readonly clock = new SystemClock();
   private readonly holders = new Map<string, BudgetHolder>();
   private readonly storeHealths: StoreHealth[] = [];
@@ -145,7 +145,7 @@
   /** Starts a holder on a host of this name. */
   async start(host: string): Promise<BudgetHolder> {
     const {clock} = this;
-    const log = new LogOfHost(this.log, () => this.cutOff.has(host));
+    const log = new HostLog(this.log, () => this.isolatedHosts.has(host));
     const events = EventLog.create(LogLevel.INFO, {host}, line => {
       this.events.push(JSON.parse(line) as Record<string, unknown>);
     });
@@ -178,7 +178,7 @@
     this.holders.set(host, holder);
     holder.configure(this.configuration());
     void holder.run();
-    await until(() => holder.isReady);
+    await waitUntil(() => holder.isReady);
     return holder;
   }
 
@@ -197,7 +197,7 @@
    * @param since Earliest time of the answers by the monotonic clock, milliseconds.
    */
   async waitForAnswers(since: number): Promise<void> {
-    await until(() => {
+    await waitUntil(() => {
       const now = this.clock.monotonicMilliseconds();
       return this.storeHealths.every(
         health => now - health.answerAge(now) >= since,
@@ -237,7 +237,7 @@
 }
 
 /** Waits until something holds; a test's own time limit bounds it. */
-export async function until(holds: () => boolean): Promise<void> {
+export async function waitUntil(holds: () => boolean): Promise<void> {
   while (!holds()) {
     await new Promise(resolve => setTimeout(resolve, 5));
   }
--- a/packages/gateway/src/test/loan-peers_test.ts
+++ b/packages/gateway/src/test/loan-peers_test.ts
@@ -5,7 +5,7 @@
 
 import {
   ConnectLoanPeers,
-  type Gift,
+  type GrantHandover,
   type LoanHolder,
   type LoanRequest,
 } from '../loan-peers.js';
@@ -19,27 +19,27 @@
   loan: 'loan',
   inHandOnly: false,
 };
-const GIFT: Gift = {
+const HANDOVER: GrantHandover = {
   giver: 'giver',
   given: [{organisation: 'school', amount: 40}],
 };
 
 /** Lends five tokens and takes gifts. */
-class GenerousHolder implements LoanHolder {
-  readonly gifts: Gift[] = [];
+class FakeLoanHolder implements LoanHolder {
+  readonly handovers: GrantHandover[] = [];
 
   async lend(): Promise<number> {
     return Promise.resolve(5);
   }
 
-  takeOver(gift: Gift): boolean {
-    this.gifts.push(gift);
+  takeOver(gift: GrantHandover): boolean {
+    this.handovers.push(gift);
     return true;
   }
 }
 
 /** Lends when a test says so. */
-class SlowHolder extends GenerousHolder {
+class DeferredLoanHolder extends FakeLoanHolder {
   private readonly waiting: (() => void)[] = [];
 
   override async lend(): Promise<number> {
@@ -56,21 +56,21 @@
   /** Waits until a borrower asks. */
   async asked(): Promise<void> {
     while (this.waiting.length === 0) {
-      await turn();
+      await nextTurn();
     }
   }
 }
 
 /** Passes a turn of the event loop. */
-function turn(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
 describe('ConnectLoanPeers', () => {
-  const holder = new GenerousHolder();
-  const escaped: unknown[] = [];
-  const catchEscaped = (error: unknown) => {
-    escaped.push(error);
+  const holder = new FakeLoanHolder();
+  const uncaughtErrors: unknown[] = [];
+  const collectError = (error: unknown) => {
+    uncaughtErrors.push(error);
   };
   let peers: ConnectLoanPeers;
 
@@ -78,13 +78,13 @@
     // No time passes: calls end by what their peer does, and none by its limit.
     vi.useFakeTimers({toFake: ['setTimeout', 'clearTimeout']});
     peers = new ConnectLoanPeers();
-    escaped.length = 0;
-    process.on('uncaughtException', catchEscaped);
+    uncaughtErrors.length = 0;
+    process.on('uncaughtException', collectError);
   });
 
   afterEach(() => {
     peers.close();
-    process.off('uncaughtException', catchEscaped);
+    process.off('uncaughtException', collectError);
     vi.useRealTimers();
   });
 
@@ -94,8 +94,8 @@
       holder,
     );
     expect(await peers.borrow(server.address, REQUEST)).toBe(5);
-    expect(await peers.give(server.address, GIFT)).toBe(true);
-    expect(holder.gifts).toMatchObject([GIFT]);
+    expect(await peers.handOver(server.address, HANDOVER)).toBe(true);
+    expect(holder.handovers).toMatchObject([HANDOVER]);
     await server.close();
   });
 
@@ -111,7 +111,7 @@
       await peers.borrow(server.address, REQUEST);
       const closing = server.close();
       for (let turns = 0; turns < round % 30; turns++) {
-        await turn();
+        await nextTurn();
       }
       const calls = [1, 2].map(() =>
         peers.borrow(server.address, REQUEST).catch(() => 0),
@@ -122,8 +122,8 @@
       await Promise.all(calls);
       await closing;
     }
-    await turn();
-    expect(escaped).toEqual([]);
+    await nextTurn();
+    expect(uncaughtErrors).toEqual([]);
   });
 });
 
@@ -132,13 +132,13 @@
   const DELAY = 400;
   const LONGEST_LIMIT = 1_000;
   const LATE_LIMIT = 5_000;
-  let holder: SlowHolder;
+  let holder: DeferredLoanHolder;
   let server: LoanServer;
   let link: FakeHostLink;
   let peers: ConnectLoanPeers;
 
   beforeEach(async () => {
-    holder = new SlowHolder();
+    holder = new DeferredLoanHolder();
     server = await LoanServer.listen({address: '127.0.0.1', port: 0}, holder);
     vi.useFakeTimers({toFake: ['setTimeout', 'clearTimeout']});
     link = new FakeHostLink();
@@ -158,8 +158,8 @@
     const loan = peers.borrow(server.address, REQUEST).catch(() => undefined);
     await holder.asked();
     vi.advanceTimersByTime(milliseconds);
-    await turn();
-    await turn();
+    await nextTurn();
+    await nextTurn();
     await holder.answer();
     return loan;
   }
--- a/packages/gateway/src/test/store-health_test.ts
+++ b/packages/gateway/src/test/store-health_test.ts
@@ -42,25 +42,25 @@
   it('calls a fast store late after a short time', () => {
     exchange(0, 10);
     health.called(100);
-    expect(health.lateIn(130)).toBe(30);
-    expect(health.lateIn(160)).toBe(0);
+    expect(health.millisecondsUntilLate(130)).toBe(30);
+    expect(health.millisecondsUntilLate(160)).toBe(0);
   });
 
   it('waits longer for a store that is slow as usual, within a limit', () => {
     // Busy hosts took a store that was slow as usual for one that did not answer.
     exchange(0, 70);
     health.called(100);
-    expect(health.lateIn(200)).toBe(110);
+    expect(health.millisecondsUntilLate(200)).toBe(110);
     exchange(300, 1_000);
     health.called(2_000);
-    expect(health.lateIn(2_000)).toBe(250);
-    expect(health.lateIn(2_250)).toBe(0);
+    expect(health.millisecondsUntilLate(2_000)).toBe(250);
+    expect(health.millisecondsUntilLate(2_250)).toBe(0);
   });
 
   it('waits for nothing while the store is away', () => {
     exchange(0, 100);
     health.failed(200, 'gone');
-    expect(health.lateIn(201)).toBe(0);
+    expect(health.millisecondsUntilLate(201)).toBe(0);
   });
 });
 
@@ -97,20 +97,20 @@
   it('does not count blocked time as waiting for an answer', () => {
     // Guards against a busy host that borrows from others because of its own delay.
     block(2_000);
-    expect(health.isAtHand(now)).toBe(true);
-    expect(health.lateIn(now)).toBeGreaterThan(0);
+    expect(health.isResponsive(now)).toBe(true);
+    expect(health.millisecondsUntilLate(now)).toBeGreaterThan(0);
     pass(1);
-    expect(health.isAtHand(now)).toBe(true);
+    expect(health.isResponsive(now)).toBe(true);
   });
 
   it('still detects a missing answer after a block', () => {
     // Guards against requests that keep waiting for an unreachable store.
     block(2_000);
     pass(61);
-    expect(health.lateIn(now)).toBe(0);
-    expect(health.isAtHand(now)).toBe(true);
+    expect(health.millisecondsUntilLate(now)).toBe(0);
+    expect(health.isResponsive(now)).toBe(true);
     pass(250);
-    expect(health.isAtHand(now)).toBe(false);
+    expect(health.isResponsive(now)).toBe(false);
   });
 
   it('does not count repeated blocks as waiting for an answer', () => {
@@ -119,7 +119,7 @@
       block(500);
       pass(25);
     }
-    expect(health.lateIn(now)).toBeGreaterThan(0);
+    expect(health.millisecondsUntilLate(now)).toBeGreaterThan(0);
   });
 });
 
@@ -139,18 +139,18 @@
   it('does not count the delay of an append and a read as waiting', () => {
     // Guards against a host that borrows from others because of its own delay.
     link.delayMilliseconds = DELAY_MILLISECONDS;
-    expect(health.lateIn(1_000)).toBe(60);
-    expect(health.isAtHand(1_249)).toBe(true);
-    expect(health.isAtHand(1_250)).toBe(false);
+    expect(health.millisecondsUntilLate(1_000)).toBe(60);
+    expect(health.isResponsive(1_249)).toBe(true);
+    expect(health.isResponsive(1_250)).toBe(false);
   });
 
   it('counts all of it once the link is free', () => {
     // Guards against requests that keep waiting for an unreachable store.
     link.delayMilliseconds = DELAY_MILLISECONDS;
-    expect(health.isAtHand(300)).toBe(true);
+    expect(health.isResponsive(300)).toBe(true);
     link.delayMilliseconds = 0;
-    expect(health.isAtHand(300)).toBe(false);
-    expect(health.lateIn(300)).toBe(0);
+    expect(health.isResponsive(300)).toBe(false);
+    expect(health.millisecondsUntilLate(300)).toBe(0);
   });
 });
 
--- a/packages/gateway/src/test/token-waiters_test.ts
+++ b/packages/gateway/src/test/token-waiters_test.ts
@@ -37,8 +37,8 @@
     line.add(waiter(TokenUse.Delivery, 'ready', ended));
     line.add(waiter(TokenUse.Dispatch, 'new', ended));
     line.refuseFirst(BudgetRefusal.HeldElsewhere);
-    line.refuseUndispatched(BudgetRefusal.StoreAway);
-    expect(ended).toEqual([`new: ${BudgetRefusal.StoreAway}`]);
+    line.refuseUndispatched(BudgetRefusal.StoreUnavailable);
+    expect(ended).toEqual([`new: ${BudgetRefusal.StoreUnavailable}`]);
     line.refuseFirst(BudgetRefusal.Exhausted);
     expect(line.count).toBe(0);
   });
--- a/packages/gateway/src/token-reservations.ts
+++ b/packages/gateway/src/token-reservations.ts
@@ -5,12 +5,12 @@
 } from '@wisteriadeal/budgets';
 import {NetworkTimeout} from '@wisteriadeal/platform';
 
-import type {BudgetBook} from './budget-book.js';
+import type {BudgetRegistry} from './budget-registry.js';
 import type {GrantBorrower} from './grant-borrower.js';
 import type {
   OrganisationBudget,
   ReserveResult,
-  TokenWish,
+  TokenRequest,
 } from './organisation-budget.js';
 import {BudgetRefusal} from './token-waiters.js';
 
@@ -18,13 +18,13 @@
  * A request waits so long for a grant. An append and a read take about 10 ms; the
  * shortest goal among the users' requests is some 150 ms.
  */
-const WAIT_MILLISECONDS = 400;
+const GRANT_WAIT_MILLISECONDS = 400;
 /** A request is refused by then, while its caller has time to try another host. */
-const LONGEST_WAIT_MILLISECONDS = 1_500;
+const MAXIMUM_GRANT_WAIT_MILLISECONDS = 1_500;
 /** The exchange with the store that is under way, and the one that brings the grant. */
-const WAIT_EXCHANGES = 2;
+const EXCHANGES_PER_GRANT = 2;
 /** A lender waits so long for the store; its borrower waits 120 ms for it. */
-const FETCH_MILLISECONDS = 70;
+const LENDER_FETCH_MILLISECONDS = 70;
 
 /** How long an answer that is ready waits for its tokens. */
 export interface DeliveryLimit {
@@ -48,7 +48,7 @@
 
   /** @param wake Begins the next exchange with the store at once. */
   constructor(
-    private readonly book: BudgetBook,
+    private readonly registry: BudgetRegistry,
     private readonly borrower: GrantBorrower,
     private readonly wake: () => void,
   ) {}
@@ -64,35 +64,38 @@
    * @returns At once where the grants or the log cover it; else after the store's
    *     verdict or a loan.
    */
-  async reserve(organisation: string, wish: TokenWish): Promise<ReserveResult> {
+  async reserve(
+    organisation: string,
+    wish: TokenRequest,
+  ): Promise<ReserveResult> {
     const {bound, mayPromise} = wish;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (budget === undefined || bound === 0) {
-      return {reservation: unlimited(organisation)};
+      return {reservation: emptyReservation(organisation)};
     }
     if (this.isClosing) {
       return {refusal: BudgetRefusal.Stopping};
     }
-    const view = this.book.view(organisation);
-    const now = this.book.now();
-    const isLogAtHand = this.book.health.isAtHand(now);
-    const point = chargePoint(budget.account, view, bound, isLogAtHand);
+    const view = this.registry.view(organisation);
+    const now = this.registry.now();
+    const isLogResponsive = this.registry.health.isResponsive(now);
+    const point = chargePoint(budget.account, view, bound, isLogResponsive);
     if (mayPromise && point === ChargePoint.Delivery) {
       return {reservation: budget.promise(bound)};
     }
-    const kept = isLogAtHand ? 0 : budget.account.promised;
-    const reservation = budget.reserveNow(bound, kept);
+    const kept = isLogResponsive ? 0 : budget.account.promised;
+    const reservation = budget.tryReserve(bound, kept);
     if (reservation !== undefined) {
       return {reservation};
     }
     if (budget.isExhausted(view, bound)) {
       return {refusal: BudgetRefusal.Exhausted};
     }
-    const result = budget.reserveLater(bound, {
-      milliseconds: this.waitFor(wish),
-      refusal: () => this.book.refusalOfLate(budget, bound),
+    const result = budget.reserveWhenAvailable(bound, {
+      milliseconds: this.grantWaitMilliseconds(wish),
+      refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
-    return this.bring(budget, result);
+    return this.awaitTokens(budget, result);
   }
 
   /**
@@ -106,7 +109,7 @@
     limit: DeliveryLimit,
   ): Promise<TakenReservation> {
     const {organisation, bound} = reservation;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (
       budget === undefined ||
       reservation.chargePoint === ChargePoint.Dispatch
@@ -114,30 +117,30 @@
       return {reservation, refusal: undefined};
     }
     const taken = {...reservation, chargePoint: ChargePoint.Dispatch};
-    if (budget.keepPromiseNow(bound)) {
+    if (budget.tryReservePromised(bound)) {
       return {reservation: taken, refusal: undefined};
     }
-    const result = budget.keepPromiseLater(bound, {
+    const result = budget.reservePromisedWhenAvailable(bound, {
       ...limit,
-      refusal: () => this.book.refusalOfLate(budget, bound),
+      refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
-    const refusal = await this.bring(budget, result);
+    const refusal = await this.awaitTokens(budget, result);
     return {reservation: refusal === undefined ? taken : reservation, refusal};
   }
 
   /** Ends a reservation with what the request used. */
   settle(reservation: Reservation, used: number): void {
-    const budget = this.book.get(reservation.organisation);
+    const budget = this.registry.get(reservation.organisation);
     if (budget !== undefined && reservation.bound > 0) {
       budget.settle(reservation, used);
     }
   }
 
   /** Brings tokens from the store for a loan, without asking for one in turn. */
-  async fetch(budget: OrganisationBudget, least: number): Promise<void> {
-    const fetched = budget.reserveLater(least, {
-      milliseconds: FETCH_MILLISECONDS,
-      refusal: () => this.book.refusalOfLate(budget, least),
+  async fetchForLoan(budget: OrganisationBudget, least: number): Promise<void> {
+    const fetched = budget.reserveWhenAvailable(least, {
+      milliseconds: LENDER_FETCH_MILLISECONDS,
+      refusal: () => this.registry.timeoutRefusal(budget, least),
     });
     this.wake();
     const result = await fetched;
@@ -147,35 +150,38 @@
   }
 
   /** Longer while this host's link delays the store's answers, within its time. */
-  private waitFor({remainingMilliseconds = Infinity}: TokenWish): number {
-    const delay = WAIT_EXCHANGES * this.book.health.linkDelayMilliseconds;
+  private grantWaitMilliseconds({
+    remainingMilliseconds = Infinity,
+  }: TokenRequest): number {
+    const delay =
+      EXCHANGES_PER_GRANT * this.registry.health.linkDelayMilliseconds;
     const longest = Math.min(
-      LONGEST_WAIT_MILLISECONDS,
+      MAXIMUM_GRANT_WAIT_MILLISECONDS,
       remainingMilliseconds / 2,
     );
     return Math.max(
-      WAIT_MILLISECONDS,
-      Math.min(longest, WAIT_MILLISECONDS + delay),
+      GRANT_WAIT_MILLISECONDS,
+      Math.min(longest, GRANT_WAIT_MILLISECONDS + delay),
     );
   }
 
   /** Wakes the exchange with the store, and asks other holders where it is late. */
-  private async bring<Result>(
+  private async awaitTokens<Result>(
     budget: OrganisationBudget,
     result: Promise<Result>,
   ): Promise<Result> {
     this.wake();
-    const {health} = this.book;
+    const {health} = this.registry;
     const borrowIfLate = () => {
-      const patience = health.lateIn(this.book.now());
-      if (patience > 0) {
-        timeout = new NetworkTimeout(patience, borrowIfLate);
+      const delay = health.millisecondsUntilLate(this.registry.now());
+      if (delay > 0) {
+        timeout = new NetworkTimeout(delay, borrowIfLate);
       } else {
         void this.borrower.borrow(budget);
       }
     };
     let timeout = new NetworkTimeout(
-      health.lateIn(this.book.now()),
+      health.millisecondsUntilLate(this.registry.now()),
       borrowIfLate,
     );
     try {
@@ -187,6 +193,6 @@
 }
 
 /** Of an organisation without a budget, or a request without tokens. */
-function unlimited(organisation: string): Reservation {
+function emptyReservation(organisation: string): Reservation {
   return {organisation, bound: 0, chargePoint: ChargePoint.Dispatch};
 }
--- a/packages/gateway/src/token-waiters.ts
+++ b/packages/gateway/src/token-waiters.ts
@@ -5,7 +5,7 @@
   /** The rest may be held elsewhere, or by requests that have not ended. */
   HeldElsewhere = 'budget-held-elsewhere',
   /** The store, which alone gives grants, does not answer. */
-  StoreAway = 'budget-store-away',
+  StoreUnavailable = 'budget-store-away',
   /** This process stops and has handed its grants back. */
   Stopping = 'budget-stopping',
 }
@@ -31,34 +31,34 @@
  * ready: their work is done, and each further moment makes them late.
  */
 export class TokenWaiters {
-  private readonly line: TokenWaiter[] = [];
+  private readonly queue: TokenWaiter[] = [];
 
   /** Requests in line. */
   get count(): number {
-    return this.line.length;
+    return this.queue.length;
   }
 
   /** The most that they can use, together. */
   get tokens(): number {
-    return this.line.reduce((sum, {bound}) => sum + bound, 0);
+    return this.queue.reduce((sum, {bound}) => sum + bound, 0);
   }
 
   /** The next to be served. */
   get first(): TokenWaiter | undefined {
-    return this.line[0];
+    return this.queue[0];
   }
 
   /** Whether one is in line that goes before a new one of this use. */
-  isAhead(use: TokenUse): boolean {
-    return this.line.some(waiter => placeOf(waiter.use) <= placeOf(use));
+  hasWaiterBefore(use: TokenUse): boolean {
+    return this.queue.some(waiter => priorityOf(waiter.use) <= priorityOf(use));
   }
 
   /** Puts one behind those that go before it. */
   add(waiter: TokenWaiter): void {
-    const behind = this.line.findIndex(
-      ({use}) => placeOf(use) > placeOf(waiter.use),
+    const behind = this.queue.findIndex(
+      ({use}) => priorityOf(use) > priorityOf(waiter.use),
     );
-    this.line.splice(behind === -1 ? this.line.length : behind, 0, waiter);
+    this.queue.splice(behind === -1 ? this.queue.length : behind, 0, waiter);
   }
 
   /**
@@ -67,16 +67,16 @@
    * @param refusal Undefined where it got its tokens.
    */
   remove(waiter: TokenWaiter, refusal?: BudgetRefusal): void {
-    const index = this.line.indexOf(waiter);
+    const index = this.queue.indexOf(waiter);
     if (index >= 0) {
-      this.line.splice(index, 1);
+      this.queue.splice(index, 1);
       waiter.done(refusal);
     }
   }
 
   /** Refuses those that were sent nowhere yet. */
   refuseUndispatched(refusal: BudgetRefusal): void {
-    for (const waiter of [...this.line]) {
+    for (const waiter of [...this.queue]) {
       if (waiter.use === TokenUse.Dispatch) {
         this.remove(waiter, refusal);
       }
@@ -93,6 +93,6 @@
   }
 }
 
-function placeOf(use: TokenUse): number {
+function priorityOf(use: TokenUse): number {
   return use === TokenUse.Delivery ? 0 : 1;
 }
