--- a/packages/budgets/src/budget-fold.ts
+++ b/packages/budgets/src/budget-fold.ts
@@ -55,9 +55,8 @@
 }
 
 /**
- * A holder whose use exceeds its even share gets at most one part in four of the tokens
- * that may still be held. This happens when all of an organisation's callers use one
- * host.
+ * A holder whose use exceeds its even share gets at most a quarter of the tokens that may
+ * still be held. This happens when all of an organisation's callers use one host.
  */
 const HEADROOM_DIVISOR = 4;
 
--- a/packages/budgets/src/leaving-surplus.ts
+++ b/packages/budgets/src/leaving-surplus.ts
@@ -3,9 +3,10 @@
 import {SCARCE_BUDGET_PART} from './reservation.js';
 
 /**
- * Computes the tokens that a leaving host returns, whose callers are redirected to other
- * hosts. When few tokens are unallocated, it returns all that are not promised except
- * for one request of average size. Its recent usage does not indicate what it needs.
+ * Computes the tokens that a leaving host returns for the other hosts, to which its
+ * callers are redirected. When few tokens are unallocated, it returns all available ones
+ * that are not promised except for one request of average size. Its recent usage does
+ * not indicate what it needs.
  *
  * @param view The budget as of the fold's offset; undefined before any grant.
  * @returns Tokens to return; undefined while enough tokens are unallocated.
--- a/packages/budgets/src/test/fleet-model.ts
+++ b/packages/budgets/src/test/fleet-model.ts
@@ -308,7 +308,7 @@
     host.account.credit(
       outcome.kind === 'grant'
         ? outcome.granted
-        : host.unanswered.recorded(outcome.loan, outcome.amount),
+        : host.unanswered.recordFolded(outcome.loan, outcome.amount),
     );
   }
 }
--- a/packages/budgets/src/test/unanswered-loans_test.ts
+++ b/packages/budgets/src/test/unanswered-loans_test.ts
@@ -10,15 +10,15 @@
     const loans = new UnansweredLoans();
     loans.requested('a');
     expect(loans.answerLost('a')).toBe(0);
-    expect(loans.recorded('a', 700)).toBe(700);
-    expect(loans.recorded('a', 700)).toBe(0);
+    expect(loans.recordFolded('a', 700)).toBe(700);
+    expect(loans.recordFolded('a', 700)).toBe(0);
   });
 
   it('credits nothing for the record of an answered loan', () => {
     const loans = new UnansweredLoans();
     loans.requested('a');
     loans.answered('a');
-    expect(loans.recorded('a', 700)).toBe(0);
+    expect(loans.recordFolded('a', 700)).toBe(0);
   });
 
   it('waits for the end of the call when the record comes first', () => {
@@ -26,12 +26,12 @@
     const loans = new UnansweredLoans();
     loans.requested('answered');
     loans.requested('lost');
-    expect(loans.recorded('answered', 500)).toBe(0);
-    expect(loans.recorded('lost', 700)).toBe(0);
+    expect(loans.recordFolded('answered', 500)).toBe(0);
+    expect(loans.recordFolded('lost', 700)).toBe(0);
     loans.answered('answered');
-    expect(loans.recorded('answered', 500)).toBe(0);
+    expect(loans.recordFolded('answered', 500)).toBe(0);
     expect(loans.answerLost('lost')).toBe(700);
-    expect(loans.recorded('lost', 700)).toBe(0);
+    expect(loans.recordFolded('lost', 700)).toBe(0);
   });
 
   it('credits a loan once when its answer comes after the call was abandoned', () => {
@@ -42,8 +42,8 @@
     loans.answerLost('answered first');
     loans.answerLost('recorded first');
     expect(loans.answeredLate('answered first', 700)).toBe(700);
-    expect(loans.recorded('answered first', 700)).toBe(0);
-    expect(loans.recorded('recorded first', 500)).toBe(500);
+    expect(loans.recordFolded('answered first', 700)).toBe(0);
+    expect(loans.recordFolded('recorded first', 500)).toBe(500);
     expect(loans.answeredLate('recorded first', 500)).toBe(0);
   });
 
--- a/packages/budgets/src/unanswered-loans.ts
+++ b/packages/budgets/src/unanswered-loans.ts
@@ -57,10 +57,10 @@
    * @returns Tokens to credit now, if the record came first; else 0.
    */
   answerLost(loan: string): number {
-    const recordFolded = this.loans.get(loan)?.recordedTokens;
-    if (recordFolded !== undefined) {
+    const recordedTokens = this.loans.get(loan)?.recordedTokens;
+    if (recordedTokens !== undefined) {
       this.loans.delete(loan);
-      return recordFolded;
+      return recordedTokens;
     }
     this.loans.set(loan, {isAnswerLost: true, recordedTokens: undefined});
     return 0;
@@ -71,7 +71,7 @@
    *
    * @returns Tokens to credit now; 0 if the answer has credited them or still may.
    */
-  recorded(loan: string, amount: number): number {
+  recordFolded(loan: string, amount: number): number {
     const pending = this.loans.get(loan);
     if (pending === undefined) {
       return 0;
--- a/packages/gateway/src/grant-borrower.ts
+++ b/packages/gateway/src/grant-borrower.ts
@@ -14,26 +14,28 @@
 import {BudgetRefusal} from './token-waiters.js';
 
 /**
- * Lenders that are asked for one loan. Load: many hosts hold a small budget in
- * pieces that are smaller than a request. Harm with few lenders: the pieces are not
- * gathered, and the request is refused.
+ * Maximum number of lenders asked for one request. Many hosts may each hold fewer tokens
+ * of a small budget than one request needs. With fewer lenders these tokens would not be
+ * collected and the request would be refused.
  */
 const MAXIMUM_LENDERS = 12;
-/** Lenders asked at once; a silent one costs the request that waits 120 ms. */
+/** Lenders asked concurrently. One that does not answer delays the request by 120 ms. */
 const CONCURRENT_LENDERS = 3;
-/** A loan is asked for so many times what waits, so that the next finds some. */
+/** Multiple of the waiting requests' tokens that is borrowed, to serve the next ones. */
 const LOAN_SIZE_FACTOR = 3;
 /**
- * Calls to the store that fail for this host's own link alone fail no longer: the store
- * may be away as well, and requests would wait in vain.
+ * Maximum time for which failed calls to the store are attributed to this host's own
+ * link. After that the store may be unavailable as well, and requests would wait for
+ * grants that do not come.
  */
 const LINK_FAILURE_MILLISECONDS = 2_000;
-/** Why a lender is not asked until its late answer has come. */
-const LATE_ANSWER_REASON = 'no answer in time, as this host’s link is late';
-/** A lender that did not answer is not asked for this long, or until it answers. */
+/** Reason for pausing a lender until its late answer has come. */
+const LATE_ANSWER_REASON =
+  'no answer in time because this host’s link is delayed';
+/** A lender that did not answer is not asked again for this time, or until it answers. */
 const LENDER_PAUSE_MILLISECONDS = 2_000;
 
-/** Brings tokens from other holders where the store gives none in time. */
+/** Borrows tokens from other holders when the store grants none in time. */
 export class GrantBorrower {
   private readonly pausedLenders = new Map<string, number>();
   private readonly unansweredLoans = new UnansweredLoans();
@@ -49,10 +51,11 @@
   ) {}
 
   /**
-   * Asks the holders that have most, a few at once. What still waits then is
-   * refused: all while the store is away, else the first. Where the log has enough and
-   * has not answered, its answer is waited for: a slow store takes 0.3 s and more. So
-   * are loans that this host's own link holds up.
+   * Borrows from the holders with the most tokens, a few at a time. Requests that still
+   * wait then are refused: all undispatched ones while the store is unavailable, else
+   * the first. None is refused while the log has enough tokens and is expected to grant
+   * them, since a slow store takes 0.3 s and more, or while a loan is delayed by this
+   * host's own link.
    */
   async borrow(budget: OrganisationBudget): Promise<void> {
     if (budget.isBorrowing) {
@@ -67,51 +70,51 @@
     this.refuseUnservable(budget);
   }
 
-  /** The log tells of a loan to this process. */
+  /** Handles the log's record of a loan to this process. */
   loanRecorded(budget: OrganisationBudget, {loan, amount}: RecordedLoan): void {
-    const found = this.unansweredLoans.recorded(loan, amount);
-    if (found > 0) {
-      this.creditRecoveredLoan(budget, loan, found);
+    const recovered = this.unansweredLoans.recordFolded(loan, amount);
+    if (recovered > 0) {
+      this.creditRecoveredLoan(budget, loan, recovered);
     }
   }
 
   /**
-   * Gives tokens to one of the holders, before this process ends. One that gives no
-   * answer may have taken them, so that no other is asked then.
+   * Hands tokens over to another holder before this process ends. If a holder does not
+   * answer, it may have accepted them, so no other holder is tried.
    */
   async handOver(given: readonly GrantAmount[]): Promise<void> {
     if (given.length === 0) {
       return;
     }
-    const gift = {giver: this.journal.incarnation, given};
+    const handover = {giver: this.journal.incarnation, given};
     for (const address of this.responsiveHolders()) {
       try {
         if (
           (await this.probe(address)) &&
-          (await this.peers.handOver(address, gift))
+          (await this.peers.handOver(address, handover))
         ) {
           this.events.info('grants handed over', {
-            taker: address,
+            recipient: address,
             organisations: given.length,
           });
           return;
         }
       } catch (error) {
-        this.events.warn('grants lost at the end', {
-          taker: address,
+        this.events.warn('grants lost at shutdown', {
+          recipient: address,
           organisations: given.length,
           reason: String(error),
         });
         return;
       }
     }
-    this.events.warn('grants lost at the end', {
+    this.events.warn('grants lost at shutdown', {
       organisations: given.length,
-      reason: 'no holder takes them',
+      reason: 'no other holder accepted the tokens',
     });
   }
 
-  /** Refuses what neither a loan nor the log is about to serve. */
+  /** Refuses waiting requests that neither a loan nor the log is expected to serve. */
   private refuseUnservable(budget: OrganisationBudget): void {
     if (budget.isBorrowing || budget.lateLoanCount > 0) {
       return;
@@ -126,19 +129,19 @@
     }
   }
 
-  /** Whether the log has enough for the first that waits, and is to give it. */
+  /** Whether the log is expected to grant enough for the first waiting request. */
   private expectsGrant(budget: OrganisationBudget): boolean {
     const view = this.replica.fold.view(budget.name);
     return this.isLogUsable() && budget.expectsGrant(view, budget.firstBound);
   }
 
-  /** Whether the store answers, or has failed to for this host's own link alone. */
+  /** Whether the store answers, or its calls failed only for this host's own link. */
   private isLogUsable(): boolean {
     const failedFor = this.health.awayFor(this.clock.monotonicMilliseconds());
     return !this.health.isOutage && failedFor < LINK_FAILURE_MILLISECONDS;
   }
 
-  /** Whether a holder speaks; a loan of nothing is asked for, and none is given. */
+  /** Checks that a holder answers, by a loan request for no tokens. */
   private async probe(address: string): Promise<boolean> {
     try {
       await this.peers.borrow(address, {
@@ -156,7 +159,7 @@
     }
   }
 
-  /** Other holders, without those that were silent lately. */
+  /** Addresses of other holders, without those that recently failed to answer. */
   private responsiveHolders(): readonly string[] {
     return [...this.replica.fold.holders.values()]
       .filter(({incarnation}) => incarnation !== this.journal.incarnation)
@@ -170,10 +173,10 @@
   }
 
   private pauseLender(address: string, loan: string, error: unknown): void {
-    const until =
+    const pausedUntil =
       this.clock.monotonicMilliseconds() + LENDER_PAUSE_MILLISECONDS;
-    this.pausedLenders.set(address, until);
-    this.events.warn('lender silent', {
+    this.pausedLenders.set(address, pausedUntil);
+    this.events.warn('lender unresponsive', {
       lender: address,
       loan,
       reason: String(error),
@@ -186,14 +189,14 @@
       budget.name,
       this.journal.incarnation,
     ).filter(({address}) => this.isResponsive(address));
-    const most = Math.min(MAXIMUM_LENDERS, lenders.length);
-    for (let asked = 0; asked < most; asked += CONCURRENT_LENDERS) {
+    const count = Math.min(MAXIMUM_LENDERS, lenders.length);
+    for (let first = 0; first < count; first += CONCURRENT_LENDERS) {
       if (budget.waiters.count === 0) {
         return;
       }
       const next = lenders.slice(
-        asked,
-        Math.min(most, asked + CONCURRENT_LENDERS),
+        first,
+        Math.min(count, first + CONCURRENT_LENDERS),
       );
       await Promise.all(
         next.map(({address}, index) =>
@@ -203,7 +206,10 @@
     }
   }
 
-  /** @param inHandOnly Another lender may ask the store for the same tokens. */
+  /**
+   * @param inHandOnly Whether the lender must not request tokens from the store, because
+   *     another lender may request them for the same loan.
+   */
   private async borrowFrom(
     budget: OrganisationBudget,
     address: string,
@@ -220,11 +226,11 @@
       loan,
       inHandOnly: inHandOnly || this.expectsGrant(budget),
     };
-    const awaitLateAnswer = (answer: Promise<number>) => {
-      void this.awaitLate(budget, address, loan, answer);
+    const onLateAnswer = (answer: Promise<number>) => {
+      void this.awaitLateAnswer(budget, address, loan, answer);
     };
     try {
-      const lent = await this.peers.borrow(address, request, awaitLateAnswer);
+      const lent = await this.peers.borrow(address, request, onLateAnswer);
       if (lent !== undefined) {
         this.unansweredLoans.answered(loan);
         this.creditLoan(budget, address, loan, lent);
@@ -245,8 +251,11 @@
     budget.credit(lent);
   }
 
-  /** The loan is lost for now, so that its record brings it where that comes first. */
-  private async awaitLate(
+  /**
+   * Credits a loan when its delayed answer arrives. Until then the answer counts as lost,
+   * so that the loan's record on the log credits it if it is folded first.
+   */
+  private async awaitLateAnswer(
     budget: OrganisationBudget,
     address: string,
     loan: string,
@@ -273,9 +282,9 @@
     error: unknown,
   ): void {
     this.pauseLender(address, loan, error);
-    const found = this.unansweredLoans.answerLost(loan);
-    if (found > 0) {
-      this.creditRecoveredLoan(budget, loan, found);
+    const recovered = this.unansweredLoans.answerLost(loan);
+    if (recovered > 0) {
+      this.creditRecoveredLoan(budget, loan, recovered);
     }
   }
 
@@ -284,7 +293,7 @@
     loan: string,
     tokens: number,
   ): void {
-    this.events.info('lost loan found on the log', {
+    this.events.info('lost loan recovered from the log', {
       organisation: budget.name,
       loan,
       tokens,
--- a/packages/gateway/src/grant-lender.ts
+++ b/packages/gateway/src/grant-lender.ts
@@ -1,12 +1,12 @@
 import {loanFor} from '@wisteriadeal/budgets';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import type {BudgetRegistry} from './budget-registry.js';
 import type {BudgetJournal} from './budget-journal.js';
+import type {BudgetRegistry} from './budget-registry.js';
 import type {GrantHandover, LoanHolder, LoanRequest} from './loan-peers.js';
 import type {TokenReservations} from './token-reservations.js';
 
-/** The side of this process that other holders call. */
+/** The loan service of this process, which other holders call. */
 export class GrantLender implements LoanHolder {
   private isClosing = false;
 
@@ -17,16 +17,17 @@
     private readonly events: EventLog,
   ) {}
 
-  /** Gives and takes nothing from now on. */
+  /** Stops lending and accepting tokens. */
   close(): void {
     this.isClosing = true;
   }
 
   /**
-   * Lends to another holder; what is lent is off this account for good. A lender
-   * that sees the store gets what it lacks from there: only some hosts are cut off.
-   * Not for a borrower that has asked the store itself: both would be granted the same
-   * need, and others would be refused for tokens that nobody uses.
+   * Lends tokens to another holder and deducts them permanently from this account. A
+   * lender that reaches the store requests the missing tokens there, since the store may
+   * be unreachable for only some hosts. It does not do so for a borrower that has
+   * requested them from the store itself: both would be granted tokens for one need, and
+   * other requests would be refused for lack of tokens that are not used.
    */
   async lend(request: LoanRequest): Promise<number> {
     const {organisation, least, wish, borrower, loan, inHandOnly} = request;
@@ -57,11 +58,17 @@
         },
       });
     }
-    this.events.info('grant lent', {organisation, borrower, lent, wish, loan});
+    this.events.info('grant lent', {
+      organisation,
+      borrower,
+      lent,
+      requested: wish,
+      loan,
+    });
     return lent;
   }
 
-  /** Takes what a process has left that stops while the store is away. */
+  /** Accepts the tokens of a process that stops while the store is unavailable. */
   takeOver({giver, given}: GrantHandover): boolean {
     if (this.isClosing || !this.journal.isOpen) {
       return false;
--- a/packages/gateway/src/loan-peers.ts
+++ b/packages/gateway/src/loan-peers.ts
@@ -15,37 +15,41 @@
 import {GrantLoanService} from '@wisteriadeal/schema';
 import {Agent} from 'node:http';
 
-/** What a borrower asks for. */
+/** A request for a loan. */
 export interface LoanRequest {
   readonly organisation: string;
-  /** Less than this is of no use. */
+  /** Tokens that the first waiting request needs. */
   readonly least: number;
+  /** Tokens that the borrower would like. */
   readonly wish: number;
   /** Incarnation of the borrower. */
   readonly borrower: string;
-  /** Names the loan, so that the borrower takes it once. */
+  /** Identifies the loan, so that the borrower credits it once. */
   readonly loan: string;
-  /** The lender asks the store for nothing: it has been asked for the same tokens. */
+  /**
+   * Whether the lender lends only tokens that it holds, and requests none from the store,
+   * because the store has already been asked for the same tokens.
+   */
   readonly inHandOnly: boolean;
 }
 
 /**
- * Takes an answer that this host's own link holds up beyond its limit. It is rejected
- * once it is given up.
+ * Receives an answer that this host's own link delays beyond the timeout. The promise
+ * rejects once the call is abandoned.
  */
 export type LateAnswerHandler = (answer: Promise<number>) => void;
 
-/** Other holders, as lenders. */
+/** Client for the loan services of other holders. */
 export abstract class LoanPeers {
   /**
-   * Asks one holder.
+   * Requests a loan from one holder.
    *
-   * @param late Called before this ends where the answer is late at this host's own
-   *     link; without it such an answer is given up.
-   * @returns Tokens lent; the borrower owns them from now on. Undefined where the
-   *     answer is late and still awaited.
-   * @throws StepError where no answer came in time; what was lent then stands in
-   *     the lender's record.
+   * @param onLateAnswer Called before this resolves if this host's own link delays the
+   *     answer; without it such a call is abandoned.
+   * @returns Tokens lent, which the borrower owns from then on; undefined if the answer
+   *     is late and still expected.
+   * @throws StepError if no answer came in time; the lender's record on the log then
+   *     has the tokens lent.
    * @example
    * ```ts
    * const lent = await peers.borrow('10.0.0.1:7200', request);
@@ -54,24 +58,25 @@
   abstract borrow(
     address: string,
     request: LoanRequest,
-    late?: LateAnswerHandler,
+    onLateAnswer?: LateAnswerHandler,
   ): Promise<number | undefined>;
 
   /**
-   * Gives one holder what this process has left.
+   * Hands this process's remaining tokens over to one holder.
    *
-   * @returns False where it takes nothing.
-   * @throws StepError where no answer came in time; the tokens are lost then, since
-   *     they may have been taken.
+   * @returns False if the holder does not accept them.
+   * @throws StepError if no answer came in time; the tokens are lost then, since the
+   *     holder may have accepted them.
    */
-  abstract handOver(address: string, gift: GrantHandover): Promise<boolean>;
+  abstract handOver(address: string, handover: GrantHandover): Promise<boolean>;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): void;
 }
 
-/** What a stopping process gives, and by which incarnation. */
+/** Tokens that a stopping process hands over. */
 export interface GrantHandover {
+  /** Incarnation of the stopping process. */
   readonly giver: string;
   readonly given: readonly GrantAmount[];
 }
@@ -82,19 +87,19 @@
   readonly amount: number;
 }
 
-/** The side of a holder that others call. */
+/** The operations of a holder that other holders call. */
 export interface LoanHolder {
-  /** Lends what it can spare; 0 for nothing. */
+  /** Lends spare tokens; returns the amount lent, 0 for none. */
   lend(request: LoanRequest): Promise<number>;
-  /** Takes what a stopping process has left; false where it stops itself. */
-  takeOver(gift: GrantHandover): boolean;
+  /** Accepts a stopping process's tokens; returns false if it is stopping itself. */
+  takeOver(handover: GrantHandover): boolean;
 }
 
-/** A lender in another data centre answers within some 10 ms; a frozen one never. */
+/** A lender in another data centre answers in about 10 ms; a frozen one never does. */
 const ANSWER_TIMEOUT_MILLISECONDS = 120;
-/** A silent lender holds up all loans of an organisation for no longer. */
+/** Maximum time that an unresponsive lender delays all loans of an organisation. */
 const MAXIMUM_ANSWER_TIMEOUT_MILLISECONDS = 1_000;
-/** An answer that this host's own link holds up is awaited so long after its limit. */
+/** Extra time for an answer that this host's own link delays beyond its timeout. */
 const LATE_ANSWER_TIMEOUT_MILLISECONDS = 5_000;
 
 type Exchange<Answer> = (
@@ -108,14 +113,14 @@
 }
 
 /**
- * Holders over Connect, by HTTP/1.1. Over HTTP/2 the library's session raises an
- * error that nobody catches where the peer says that it ends (GOAWAY) while the
- * session is given up: the process ends with all its requests.
+ * Client over Connect with HTTP/1.1. With HTTP/2, the library's session raises an
+ * uncaught error if the peer sends GOAWAY while the session is being abandoned, which
+ * would end the process with all its requests.
  */
 export class ConnectLoanPeers extends LoanPeers {
   private readonly peers = new Map<string, Peer>();
 
-  /** @param link Of this host: answers take longer while it is full. */
+  /** @param link This host's link; timeouts are longer while it is congested. */
   constructor(private readonly link: HostLink = new FreeLink()) {
     super();
   }
@@ -123,13 +128,13 @@
   override async borrow(
     address: string,
     request: LoanRequest,
-    late?: LateAnswerHandler,
+    onLateAnswer?: LateAnswerHandler,
   ): Promise<number | undefined> {
     return this.call(
       'borrow grant',
       address,
       async (client, signal) => (await client.borrow(request, {signal})).lent,
-      late,
+      onLateAnswer,
     );
   }
 
@@ -138,12 +143,12 @@
     {giver, given}: GrantHandover,
   ): Promise<boolean> {
     const message = {giver, given: [...given]};
-    const taken = await this.call(
+    const isTaken = await this.call(
       'give grant',
       address,
       async (client, signal) => (await client.give(message, {signal})).taken,
     );
-    return taken === true;
+    return isTaken === true;
   }
 
   override close(): void {
@@ -156,31 +161,31 @@
     step: string,
     address: string,
     exchange: Exchange<Answer>,
-    late?: (answer: Promise<Answer>) => void,
+    onLateAnswer?: (answer: Promise<Answer>) => void,
   ): Promise<Answer | undefined> {
     const controller = new AbortController();
-    const giveUp = () => {
+    const abandon = () => {
       controller.abort(
         new ConnectError('the operation timed out', Code.DeadlineExceeded),
       );
     };
-    const limit = Math.min(
+    const timeoutMilliseconds = Math.min(
       MAXIMUM_ANSWER_TIMEOUT_MILLISECONDS,
       ANSWER_TIMEOUT_MILLISECONDS + this.linkDelay(address),
     );
     const answer = this.exchange(step, address, exchange, controller.signal);
-    if (await settlesWithin(answer, limit)) {
+    if (await settlesWithin(answer, timeoutMilliseconds)) {
       return answer;
     }
-    if (late === undefined || !this.link.isLate) {
-      giveUp();
+    if (onLateAnswer === undefined || !this.link.isLate) {
+      abandon();
       return answer;
     }
     const timeout = new NetworkTimeout(
       LATE_ANSWER_TIMEOUT_MILLISECONDS,
-      giveUp,
+      abandon,
     );
-    late(
+    onLateAnswer(
       answer.finally(() => {
         timeout.close();
       }),
@@ -204,7 +209,7 @@
     }
   }
 
-  /** A new connection is delayed at the link before the answer is. */
+  /** Link delay of a call, milliseconds; it applies twice with a new connection. */
   private linkDelay(address: string): number {
     const kept = this.peers.get(address)?.connections.freeSockets ?? {};
     const isNew = Object.keys(kept).length === 0;
@@ -226,7 +231,7 @@
     return peer;
   }
 
-  /** A connection that gave no answer may be silent for good. */
+  /** Closes a peer's connections, since one without an answer may stay unresponsive. */
   private closePeer(address: string, peer: Peer): void {
     peer.connections.destroy();
     if (this.peers.get(address) === peer) {
@@ -235,7 +240,7 @@
   }
 }
 
-/** Whether an answer or a failure comes within a time. */
+/** Whether a promise resolves or rejects within a time. */
 function settlesWithin(
   work: Promise<unknown>,
   milliseconds: number,
--- a/packages/gateway/src/loan-server.ts
+++ b/packages/gateway/src/loan-server.ts
@@ -6,23 +6,23 @@
 import type {LoanHolder} from './loan-peers.js';
 
 /**
- * Idle connections are kept so long: a call that crosses the close of one loses its
- * answer, and the lender is passed over for two seconds.
+ * How long idle connections are kept. A call sent while the connection is being closed
+ * loses its answer, and the borrower does not ask that lender for two seconds.
  */
 const KEEP_ALIVE_MILLISECONDS = 60_000;
 
 /**
- * Where other holders ask for loans and leave what they have at their end. It speaks
- * HTTP/1.1, as `ConnectLoanPeers` says why.
+ * Server for other holders, which request loans and hand over their tokens when they
+ * stop. It uses HTTP/1.1 for the reason given at `ConnectLoanPeers`.
  */
 export class LoanServer {
   private constructor(
     private readonly server: Server,
-    /** `IP:port` that peers reach it by. */
+    /** `IP:port` for peers. */
     readonly address: string,
   ) {}
 
-  /** @throws The system's error where the address can't be taken. */
+  /** @throws The system's error if the address cannot be bound. */
   static async listen(
     at: ListenAddress,
     holder: LoanHolder,
@@ -43,7 +43,7 @@
     return new LoanServer(server, `${at.address}:${portOf(server)}`);
   }
 
-  /** Stops listening and ends every connection. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     const closed = new Promise<void>(resolve => {
       this.server.close(() => {
--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -11,9 +11,9 @@
 const PREPAID = 100_000;
 const REQUEST = 2_500;
 const LARGE_REQUEST = 30_000;
-/** Longer than a holder's pause between two reads of the log. */
+/** Longer than a holder's interval between two reads of the log. */
 const LONGER_THAN_POLL_MILLISECONDS = 900;
-/** From one read of the log by an idle holder to the next, milliseconds. */
+/** Offsets between two reads of the log by an idle holder. */
 const POLL_OFFSETS_MILLISECONDS = Array.from(
   {length: 70},
   (_, step) => 10 * step,
@@ -35,12 +35,12 @@
   return holder.describe(SCHOOL)?.available ?? 0;
 }
 
-/** What the log can still grant, as a holder knows. */
+/** Tokens that the log can still grant, in a holder's view. */
 function unallocated(holder: BudgetHolder): number {
   return holder.describe(SCHOOL)?.unallocated ?? 0;
 }
 
-/** Lets the test's own time pass until something is done. */
+/** Advances the fake timers until a promise settles. */
 async function withFakeTimers<Result>(work: Promise<Result>): Promise<Result> {
   const ended = new AbortController();
   const end = () => {
@@ -57,7 +57,7 @@
   return {bound, mayPromise};
 }
 
-/** Cuts hosts off from the log, and waits until each has seen it. */
+/** Isolates hosts from the log and waits until each has logged the failure. */
 async function isolateHosts(hosts: readonly string[]): Promise<void> {
   hosts.forEach(host => fleet.isolatedHosts.add(host));
   const isLost = (host: string) =>
@@ -67,13 +67,13 @@
   await waitUntil(() => hosts.every(isLost));
 }
 
-/** Blocks the process, as a machine that is busy elsewhere does. */
+/** Blocks the event loop, like a machine that is busy with other processes. */
 function blockEventLoop(milliseconds: number): void {
   const never = new Int32Array(new SharedArrayBuffer(4));
   Atomics.wait(never, 0, 0, milliseconds);
 }
 
-/** Blocks the process after each first read of the log by a holder. */
+/** Blocks the event loop after each holder's first read of the log. */
 function blockAfterInitialReads(milliseconds: number): void {
   const {log} = fleet;
   const newest = log.newest.bind(log);
@@ -84,13 +84,13 @@
   };
 }
 
-/** What a call of the store ends with whose answer did not come in time. */
+/** The error of a call to the store that timed out. */
 function callTimeout(): StepError {
   const cause = new CallTimeoutError(false, 1_200);
   return new StepError('read', 'store', Fate.Unknown, cause.message, {cause});
 }
 
-/** One request that uses its whole bound; whether it was let in. */
+/** Runs a request that uses its whole bound; returns whether it was accepted. */
 async function spend(holder: BudgetHolder, tokens: number): Promise<boolean> {
   const result = await holder.reservations.reserve(
     SCHOOL,
@@ -103,7 +103,7 @@
   return true;
 }
 
-/** One request that uses a part of its bound within a second. */
+/** Runs a request that uses a part of its bound and takes one second. */
 async function spendPart(
   holder: BudgetHolder,
   bound: number,
@@ -120,10 +120,10 @@
 }
 
 describe('BudgetHolder', () => {
-  it('hands what it has left to another holder when it stops in an outage', async () => {
-    // The caller sees its requests served. Hosts are stopped in turn while the store
-    // is away; what a stopped host can't return there would be lost with it, a
-    // twentieth of each budget each time.
+  it('hands its tokens over to another holder when it stops in an outage', async () => {
+    // Guards against losing a twentieth of each budget with every host that stops while
+    // the store is unavailable. Hosts are stopped one by one and cannot return their
+    // tokens to the store, so later requests would be refused.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
     await waitUntil(() => available(stopping) > 0 && available(staying) > 0);
@@ -139,10 +139,10 @@
     expect(available(staying)).toBe(before);
   });
 
-  it('never spends what a stopped holder gave and its successor charges', async () => {
-    // The caller sees a refusal once the budget is used up, and not a token later.
-    // A successor opens on the stopped host: all that its predecessor held counts as
-    // spent, also what another holder has taken over and spends.
+  it('never exceeds the budget after a handover that the successor charges', async () => {
+    // Guards against spending beyond the budget. When a successor opens on the stopped
+    // host, all tokens of its predecessor count as spent, including those that another
+    // holder has accepted and spends.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
     await waitUntil(() => available(stopping) > 0);
@@ -166,10 +166,10 @@
     expect(spent).toBeGreaterThan(0.9 * PREPAID);
   });
 
-  it('waits for a slow store that has enough, and says so when it is silent', async () => {
-    // The caller is served, half a second later than usual. The store takes 0.3 s to
-    // answer, as it does on slow days; the other hosts have nothing to lend. A store
-    // that says nothing at all is named as the reason, and not others' hands.
+  it('waits for a slow store with enough tokens and reports one without answers', async () => {
+    // Guards against refusals while a slow store takes 0.3 s to answer and the other
+    // hosts have nothing to lend; the request is served half a second late. If the store
+    // does not answer at all, the reason must be the store and not other holders.
     const holder = await fleet.start('one');
     await fleet.start('two');
     await waitUntil(() => available(holder) > 0);
@@ -184,14 +184,15 @@
   });
 
   it.each(POLL_OFFSETS_MILLISECONDS)(
-    'waits for a slow store that has enough, at each moment of others’ polls (%i ms)',
-    async laterMilliseconds => {
-      // Guards against a lender that fetches what the borrower has asked the store for.
+    'waits for a slow store at any offset from other holders’ reads (%i ms)',
+    async offsetMilliseconds => {
+      // Guards against a lender that requests from the store the tokens that the borrower
+      // has requested there.
       vi.useFakeTimers();
       const holder = await withFakeTimers(fleet.start('one'));
       await withFakeTimers(fleet.start('two'));
       await withFakeTimers(waitUntil(() => available(holder) > 0));
-      await vi.advanceTimersByTimeAsync(laterMilliseconds);
+      await vi.advanceTimersByTimeAsync(offsetMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
       expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
       fleet.log.faults.answerAfterMilliseconds = 1_000;
@@ -206,11 +207,11 @@
   );
 
   it.each([0, 180, 360, 540, 690])(
-    'waits for a slow store that has enough, and says so when it is silent (%i ms later)',
-    async laterMilliseconds => {
-      // The caller is served, half a second later than usual. The store takes 0.3 s to
-      // answer, as it does on slow days; the other hosts have nothing to lend. A store
-      // that says nothing at all is named as the reason, and not others' hands.
+    'waits for a slow store and reports one without answers (offset %i ms)',
+    async offsetMilliseconds => {
+      // Guards against refusals while a slow store takes 0.3 s to answer and the other
+      // hosts have nothing to lend; the request is served half a second late. If the
+      // store does not answer at all, the reason must be the store and not other holders.
       vi.useFakeTimers();
       const holder = await withFakeTimers(fleet.start('one'));
       const other = await withFakeTimers(fleet.start('two'));
@@ -219,10 +220,11 @@
           one => available(one) > 0 && available(one) < LARGE_REQUEST / 2,
         );
       await withFakeTimers(waitUntil(haveUsualGrants));
-      await vi.advanceTimersByTimeAsync(laterMilliseconds);
+      await vi.advanceTimersByTimeAsync(offsetMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
       expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
-      // A lender that sees the store fetches tokens, too late here, and returns them.
+      // A lender that reaches the store requests tokens there. They come too late for the
+      // borrower, and the lender returns them.
       await withFakeTimers(
         waitUntil(
           () => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST,
@@ -240,9 +242,9 @@
   );
 
   it.each([70, 140, 190])(
-    'waits for the log while an exchange under way is late (after %i ms)',
-    async lateMilliseconds => {
-      // Guards against refusals before the log was asked for tokens that it has.
+    'waits for the log while the exchange in progress is late (after %i ms)',
+    async elapsedMilliseconds => {
+      // Guards against refusals before tokens were requested from a log that has them.
       vi.useFakeTimers();
       const holder = await withFakeTimers(fleet.start('one'));
       await withFakeTimers(fleet.start('two'));
@@ -252,12 +254,12 @@
       const reading = vi.spyOn(fleet.log, 'read');
       fleet.log.faults.answerAfterMilliseconds = 200;
       await withFakeTimers(waitUntil(() => reading.mock.calls.length === 2));
-      await vi.advanceTimersByTimeAsync(lateMilliseconds);
+      await vi.advanceTimersByTimeAsync(elapsedMilliseconds);
       expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     },
   );
 
-  describe('whose host’s full link delays the store’s answers', () => {
+  describe('while the host’s congested link delays the store’s answers', () => {
     const DELAY_MILLISECONDS = 900;
     let holder: BudgetHolder;
 
@@ -269,13 +271,13 @@
       fleet.log.faults.answerAfterMilliseconds = DELAY_MILLISECONDS;
     });
 
-    it('waits for a grant as long as it takes to come', async () => {
-      // Guards against refusals for tokens that nobody has been granted.
+    it('waits for a grant during the link delay', async () => {
+      // Guards against refusals while the tokens are still unallocated.
       expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
     it('waits for a grant although a call has timed out', async () => {
-      // Guards against an outage that is made of a late answer.
+      // Guards against a late answer that is treated as an outage.
       vi.spyOn(fleet.log, 'read').mockRejectedValueOnce(callTimeout());
       await withFakeTimers(
         waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
@@ -286,8 +288,8 @@
       expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
-    it('refuses at once after calls have timed out for seconds', async () => {
-      // Guards against callers that wait for a store that is away behind a full link.
+    it('refuses immediately after calls have timed out for seconds', async () => {
+      // Guards against waiting for an unavailable store behind a congested link.
       vi.spyOn(fleet.log, 'read').mockImplementation(() =>
         Promise.reject(callTimeout()),
       );
@@ -306,8 +308,8 @@
       expect(performance.now() - startedAt).toBeLessThan(100);
     });
 
-    it('waits no longer than the request has time', async () => {
-      // Guards against callers that are told too late to come back.
+    it('waits no longer than the request’s remaining time', async () => {
+      // Guards against callers that get `Retry-After` too late.
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
         ...tokenRequest(LARGE_REQUEST, false),
@@ -317,8 +319,8 @@
       expect(performance.now() - startedAt).toBeLessThanOrEqual(601);
     });
 
-    it('refuses while the caller has time for another host', async () => {
-      // Guards against requests that are held for tokens until their time is over.
+    it('refuses while the caller has time to try another host', async () => {
+      // Guards against requests that wait for tokens until their deadline.
       fleet.link.delayMilliseconds = 5_000;
       fleet.log.faults.answerAfterMilliseconds = 5_000;
       const startedAt = performance.now();
@@ -330,8 +332,8 @@
       expect(performance.now() - startedAt).toBeLessThanOrEqual(1_501);
     });
 
-    it('lets requests begin on what the log has while its answers are awaited', async () => {
-      // Guards against a late answer that is taken for a store that is away.
+    it('promises unallocated tokens while answers of the log are delayed', async () => {
+      // Guards against a late answer that is treated as an unavailable store.
       await vi.advanceTimersByTimeAsync(2 * DELAY_MILLISECONDS);
       for (let step = 0; step < 20; step++) {
         await vi.advanceTimersByTimeAsync(100);
@@ -346,8 +348,9 @@
     });
   });
 
-  it('has one lender at a time ask the store for what a cut-off host needs', async () => {
-    // Guards against refusals elsewhere for tokens that were fetched several times.
+  it('lets one lender at a time request tokens for an isolated host', async () => {
+    // Guards against refusals elsewhere because several lenders were granted the tokens
+    // for one request.
     vi.useFakeTimers();
     const borrower = await withFakeTimers(fleet.start('one'));
     const others: BudgetHolder[] = [];
@@ -364,8 +367,8 @@
     expect(held).toBeLessThan(LARGE_REQUEST);
   });
 
-  it('finds a lender that sees the store behind those that are cut off too', async () => {
-    // Guards against refusals in a data centre that only others can help.
+  it('finds a lender that reaches the store after several isolated ones', async () => {
+    // Guards against refusals in a partitioned data centre while other hosts can lend.
     vi.useFakeTimers();
     const names = ['one', 'two', 'three', 'four', 'five', 'six'];
     const all: BudgetHolder[] = [];
@@ -380,8 +383,8 @@
     }
   });
 
-  it('serves all that wait at once while other holders have all that is kept in hand', async () => {
-    // Guards against a grant for one request in each exchange with a store that is late.
+  it('serves all waiting requests with one grant while others hold the maximum', async () => {
+    // Guards against a grant for only one request in each exchange with a late store.
     vi.useFakeTimers();
     const holder = await withFakeTimers(fleet.start('one'));
     const busy = await withFakeTimers(fleet.start('two'));
@@ -398,7 +401,7 @@
     expect(served.filter(isServed => isServed)).toHaveLength(20);
   });
 
-  it('leaves the end of a budget to the hosts that its callers are led to', async () => {
+  it('returns the last tokens of a budget when its callers are redirected', async () => {
     // Guards against refusals while a host without callers keeps the last tokens.
     vi.useFakeTimers();
     const leaving = await withFakeTimers(fleet.start('one'));
@@ -416,8 +419,8 @@
     expect(await withFakeTimers(spend(holder, 10_000))).toBe(true);
   });
 
-  it('keeps what it holds while its callers are led away and the log has plenty', async () => {
-    // Guards against records that help nobody.
+  it('keeps its tokens while callers are redirected and the log has enough', async () => {
+    // Guards against useless records on the log.
     vi.useFakeTimers();
     const holder = await withFakeTimers(fleet.start('one'));
     await withFakeTimers(waitUntil(() => available(holder) > 0));
@@ -430,8 +433,8 @@
     expect(appending).not.toHaveBeenCalled();
   });
 
-  it('serves a request that comes while the log denies more in hand', async () => {
-    // Callers were refused, or waited for loans, though the log had their tokens.
+  it('serves a request that arrives while the log denies a refill', async () => {
+    // Guards against refusals and waits for loans although the log has the tokens.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0.05 * PREPAID);
     fleet.log.faults.answerAfterMilliseconds = 40;
@@ -440,10 +443,10 @@
     expect(await spend(holder, available(holder) + 20_000)).toBe(true);
   });
 
-  it('leaves a successor few records to read', async () => {
-    // The callers of a host that was killed are served a quarter of a second sooner.
-    // Its successor reads the log from the newest checkpoint; holders write one in
-    // turn, each after a thousand records, and not all of them at once.
+  it('writes checkpoints so that a successor reads few records', async () => {
+    // Guards against a slow start of a killed host's successor, which reads the log from
+    // the newest checkpoint: its callers are served a quarter of a second sooner. Holders
+    // take turns and write one checkpoint after a thousand records, not one each.
     await fleet.start('one');
     await fleet.start('two');
     await fleet.start('three');
@@ -462,23 +465,23 @@
   });
 
   it.each([0, 10])(
-    'gets a loan whose answer was lost from the lender’s record (held up for %i ms)',
-    async heldMilliseconds => {
-      // The caller sees its later requests served. Loans are made while the store is
-      // away, and every answer is lost: the tokens are off the lender's account and
-      // nobody has them until the store is back and the record is read.
+    'recovers a loan whose answer was lost from the lender’s record (blocked for %i ms)',
+    async blockedMilliseconds => {
+      // Guards against refusals for lost tokens. Loans are made while the store is
+      // unavailable and every answer is lost. The tokens are deducted from the lender's
+      // account, and no account has them until the store is back and the record is read.
       const borrower = await fleet.start('one');
       const lender = await fleet.start('two');
       for (let request = 0; request < 4; request++) {
         expect(await spend(lender, REQUEST)).toBe(true);
       }
-      if (heldMilliseconds > 0) {
-        // Both holders' reads are due at once.
+      if (blockedMilliseconds > 0) {
+        // Both holders' reads become due at the same time.
         blockEventLoop(LONGER_THAN_POLL_MILLISECONDS);
-        blockAfterInitialReads(heldMilliseconds);
+        blockAfterInitialReads(blockedMilliseconds);
       }
       await waitUntil(() => available(lender) > 2 * REQUEST);
-      // A holder knows the others from the log alone.
+      // A holder learns of the others only from the log.
       await waitUntil(() => borrower.holders === 2);
       fleet.log.faults.isAway = true;
       await waitUntil(() =>
@@ -493,7 +496,9 @@
       expect(lost).toBeGreaterThan(REQUEST);
       fleet.log.faults.isAway = false;
       await waitUntil(() =>
-        fleet.events.some(({event}) => event === 'lost loan found on the log'),
+        fleet.events.some(
+          ({event}) => event === 'lost loan recovered from the log',
+        ),
       );
       fleet.faults.losesAnswers = false;
       let spent = 4 * REQUEST;
@@ -506,8 +511,8 @@
     },
   );
 
-  it('serves a request by a loan that its own late link held up, and takes it once', async () => {
-    // Guards against refusals while a lender's answer waits at this host's link.
+  it('serves a request with a loan delayed by its own link and credits it once', async () => {
+    // Guards against refusals while this host's link delays a lender's answer.
     const borrower = await fleet.start('one');
     const lender = await fleet.start('two');
     for (let request = 0; request < 4; request++) {
@@ -525,7 +530,7 @@
     fleet.faults.answerDelayMilliseconds = 300;
     const large = available(borrower) + REQUEST;
     expect(await spend(borrower, large)).toBe(true);
-    // The lender that has answered is asked again at once.
+    // A lender whose late answer has come is asked again immediately.
     const another = available(borrower) + REQUEST;
     expect(await spend(borrower, another)).toBe(true);
     fleet.faults.answerDelayMilliseconds = 0;
@@ -548,9 +553,9 @@
     expect(PREPAID - spent).toBeLessThanOrEqual(REQUEST);
   });
 
-  it('charges nothing for answers that were not there when all hosts died', async () => {
-    // The caller sees: after all hosts lost power at once, its budget is there. Each
-    // host runs requests whose first event has not come, and promised their tokens.
+  it('charges nothing for undelivered answers when all hosts are killed', async () => {
+    // Guards against a budget that shrinks when all hosts lose power at once. Each host
+    // runs requests whose first event has not come and whose tokens are only promised.
     const holders = [await fleet.start('one'), await fleet.start('two')];
     await waitUntil(() => holders.every(holder => available(holder) > 0));
     for (const holder of holders) {
@@ -578,9 +583,10 @@
     ).toHaveLength(2);
   });
 
-  it('takes promised tokens from the store when the answer is there', async () => {
-    // The caller sees its whole answer. Its bound is more than the host has in hand,
-    // the store has it, and the answer waits for one exchange with the store.
+  it('gets promised tokens from the store when the answer is ready', async () => {
+    // Guards against an answer that is truncated although the store has its tokens. The
+    // bound exceeds the host's available tokens, and the answer waits for one exchange
+    // with the store.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
@@ -590,9 +596,9 @@
     );
     expect('reservation' in begun).toBe(true);
     if ('reservation' in begun) {
-      const taken = await holder.reservations.take(begun.reservation, WAIT);
-      expect(taken.refusal).toBeUndefined();
-      holder.reservations.settle(taken.reservation, bound);
+      const result = await holder.reservations.take(begun.reservation, WAIT);
+      expect(result.refusal).toBeUndefined();
+      holder.reservations.settle(result.reservation, bound);
       expect(holder.describe(SCHOOL)).toMatchObject({
         promised: 0,
         reserved: 0,
@@ -601,10 +607,10 @@
     }
   });
 
-  it('holds a ready answer back until the store is back, before new requests', async () => {
-    // The caller sees its answer late, and whole. The store goes away while the
-    // request runs, and the host has too little in hand; a request that comes then is
-    // refused at once as not run.
+  it('delays a ready answer until the store is back and serves it first', async () => {
+    // Guards against losing an answer when the store becomes unavailable while the
+    // request runs and the host has too few tokens: the caller gets the whole answer
+    // late. A request that arrives during the outage is refused immediately as not run.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
@@ -622,16 +628,16 @@
       refusal: BudgetRefusal.StoreUnavailable,
     });
     if ('reservation' in begun) {
-      const taken = holder.reservations.take(begun.reservation, WAIT);
+      const result = holder.reservations.take(begun.reservation, WAIT);
       fleet.log.faults.isAway = false;
-      expect((await taken).refusal).toBeUndefined();
+      expect((await result).refusal).toBeUndefined();
     }
     expect(holder.describe(SCHOOL)).toMatchObject({reserved: bound});
   });
 
-  it('stops waiting for tokens when the caller leaves', async () => {
-    // Tokens that come later go to others: the caller closed its connection while its
-    // answer waited for the store.
+  it('stops waiting for tokens when the caller disconnects', async () => {
+    // Guards against tokens that go to a caller that closed its connection while its
+    // answer waited for the store; later tokens must serve other requests.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
@@ -641,21 +647,21 @@
     fleet.log.faults.isAway = true;
     const leaving = new AbortController();
     if ('reservation' in begun) {
-      const taken = holder.reservations.take(begun.reservation, {
+      const result = holder.reservations.take(begun.reservation, {
         ...WAIT,
         signal: leaving.signal,
       });
       leaving.abort();
-      const {reservation, refusal} = await taken;
+      const {reservation, refusal} = await result;
       expect(refusal).toBeDefined();
       holder.reservations.settle(reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
   });
 
-  it('takes no tokens for a caller that left before its answer came', async () => {
-    // The next caller is served: nobody stands before it in line whose connection is
-    // closed already.
+  it('reserves no tokens for a caller that disconnected before its answer', async () => {
+    // Guards against a queued request whose connection is already closed and that blocks
+    // the next caller's request.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
@@ -664,9 +670,9 @@
     );
     const left = {...WAIT, signal: AbortSignal.abort()};
     if ('reservation' in begun) {
-      const taken = await holder.reservations.take(begun.reservation, left);
-      expect(taken.refusal).toBeDefined();
-      holder.reservations.settle(taken.reservation, 0);
+      const result = await holder.reservations.take(begun.reservation, left);
+      expect(result.refusal).toBeDefined();
+      holder.reservations.settle(result.reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
     expect(await spend(holder, REQUEST)).toBe(true);
--- a/packages/gateway/src/test/holder-fleet.ts
+++ b/packages/gateway/src/test/holder-fleet.ts
@@ -26,15 +26,15 @@
 const POOLED_PART = 0.5;
 const CHECKPOINT_MILLISECONDS = 60_000;
 
-/** What a fleet of holders lets go wrong between them. */
+/** Injected faults of calls between holders. */
 export interface PeerFaults {
-  /** Answers to loans are lost after the lender took the tokens off. */
+  /** Whether answers to loans are lost after the lender deducted the tokens. */
   losesAnswers: boolean;
-  /** Answers to loans come so long after their limit; 0 for in time. */
+  /** Time by which answers to loans exceed their timeout; 0 for answers in time. */
   answerDelayMilliseconds: number;
 }
 
-/** Calls holders of the same process, by their addresses. */
+/** Calls holders in the same process by their addresses. */
 class DirectPeers extends LoanPeers {
   constructor(
     private readonly holders: ReadonlyMap<string, BudgetHolder>,
@@ -46,18 +46,18 @@
   override async borrow(
     address: string,
     request: LoanRequest,
-    late?: LateAnswerHandler,
+    onLateAnswer?: LateAnswerHandler,
   ): Promise<number | undefined> {
     const {losesAnswers, answerDelayMilliseconds} = this.faults;
     const lent = await this.holder(address).lender.lend(request);
     const isLate = answerDelayMilliseconds > 0;
-    if (losesAnswers || (isLate && late === undefined)) {
-      throw new StepError('borrow grant', address, Fate.Unknown, 'lost');
+    if (losesAnswers || (isLate && onLateAnswer === undefined)) {
+      throw new StepError('borrow grant', address, Fate.Unknown, 'answer lost');
     }
     if (!isLate) {
       return lent;
     }
-    late?.(
+    onLateAnswer?.(
       new Promise(resolve => {
         setTimeout(resolve, answerDelayMilliseconds, lent);
       }),
@@ -65,24 +65,32 @@
     return undefined;
   }
 
-  override handOver(address: string, gift: GrantHandover): Promise<boolean> {
-    return Promise.resolve(this.holder(address).lender.takeOver(gift));
+  override handOver(
+    address: string,
+    handover: GrantHandover,
+  ): Promise<boolean> {
+    return Promise.resolve(this.holder(address).lender.takeOver(handover));
   }
 
   override close(): void {
-    // Nothing is open.
+    // There are no connections.
   }
 
   private holder(address: string): BudgetHolder {
     const holder = this.holders.get(address);
     if (holder === undefined) {
-      throw new StepError('reach holder', address, Fate.NotDone, 'gone');
+      throw new StepError(
+        'reach holder',
+        address,
+        Fate.NotDone,
+        'holder stopped',
+      );
     }
     return holder;
   }
 }
 
-/** The log as one host reaches it: not at all while that host is cut off. */
+/** One host's access to the log, which fails while that host is isolated. */
 class HostLog extends PartitionedLog {
   constructor(
     private readonly log: MemoryPartitionedLog,
@@ -112,27 +120,29 @@
   }
 
   override close(): void {
-    // The log is the fleet's.
+    // The fleet owns the log.
   }
 
   private callLog<Value>(call: () => Promise<Value>): Promise<Value> {
     return this.isIsolated()
-      ? Promise.reject(new StepError('reach log', '', Fate.NotDone, 'cut off'))
+      ? Promise.reject(
+          new StepError('reach log', '', Fate.NotDone, 'host isolated'),
+        )
       : call();
   }
 }
 
-/** Holders of one budget over one log in memory, without sockets. */
+/** Holders of one budget that share an in-memory log, without sockets. */
 export class HolderFleet {
   readonly log = new MemoryPartitionedLog();
   readonly faults: PeerFaults = {
     losesAnswers: false,
     answerDelayMilliseconds: 0,
   };
-  /** Of every host. */
+  /** The link of every host. */
   readonly link = new FakeHostLink();
   readonly events: Record<string, unknown>[] = [];
-  /** Hosts that do not reach the log. */
+  /** Hosts that cannot reach the log. */
   readonly isolatedHosts = new Set<string>();
   private readonly clock = new SystemClock();
   private readonly holders = new Map<string, BudgetHolder>();
@@ -182,7 +192,7 @@
     return holder;
   }
 
-  /** Puts a configuration with another budget into force at every holder. */
+  /** Applies a configuration with another budget at every holder. */
   changeBudget(prepaid: number): void {
     this.prepaid = prepaid;
     this.version++;
@@ -192,7 +202,7 @@
   }
 
   /**
-   * Waits until every holder that was started has had an answer from the store.
+   * Waits until the store has answered every holder that was started.
    *
    * @param since Earliest time of the answers by the monotonic clock, milliseconds.
    */
@@ -205,13 +215,13 @@
     });
   }
 
-  /** Ends a holder at once, as a kill does. */
+  /** Aborts a holder, like the kill of its process. */
   kill(host: string): void {
     this.holders.get(host)?.abort();
     this.holders.delete(host);
   }
 
-  /** Ends all. */
+  /** Aborts all holders. */
   close(): void {
     for (const holder of this.holders.values()) {
       holder.abort();
@@ -236,9 +246,9 @@
   }
 }
 
-/** Waits until something holds; a test's own time limit bounds it. */
-export async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) {
+/** Waits for a condition, within the time limit of the test. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 5));
   }
 }
--- a/packages/gateway/src/test/large-fleet_test.ts
+++ b/packages/gateway/src/test/large-fleet_test.ts
@@ -9,7 +9,7 @@
 const USED = 200;
 const ANSWER_MILLISECONDS = 40;
 const BETWEEN_REQUESTS_MILLISECONDS = 250;
-/** After this, the load begins once the slow store has answered every host again. */
+/** Pause before the load, which then starts once the slow store answered every host. */
 const SETTLE_MILLISECONDS = 1_500;
 const LOAD_MILLISECONDS = 6_000;
 const WAIT = {milliseconds: 3_000, signal: new AbortController().signal};
@@ -35,21 +35,21 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-/** One request from its dispatch to its end; whether it was served. */
+/** Runs one request from its dispatch to its end; returns whether it was served. */
 async function serve(holder: BudgetHolder): Promise<boolean> {
   const {reservations} = holder;
-  const wish = {bound: BOUND, mayPromise: true};
-  const begun = await reservations.reserve(SCHOOL, wish);
+  const request = {bound: BOUND, mayPromise: true};
+  const begun = await reservations.reserve(SCHOOL, request);
   if ('refusal' in begun) {
     return false;
   }
-  const taken = await reservations.take(begun.reservation, WAIT);
-  const isTaken = taken.refusal === undefined;
-  reservations.settle(taken.reservation, isTaken ? USED : 0);
-  return isTaken;
+  const result = await reservations.take(begun.reservation, WAIT);
+  const isServed = result.refusal === undefined;
+  reservations.settle(result.reservation, isServed ? USED : 0);
+  return isServed;
 }
 
-/** Requests at every host, one after another, for the time of the load. */
+/** Sends requests to every host, one after another, for `LOAD_MILLISECONDS`. */
 async function load(holders: readonly BudgetHolder[]): Promise<LoadResult> {
   const end = performance.now() + LOAD_MILLISECONDS;
   let served = 0;
@@ -68,16 +68,17 @@
     }),
   );
   const loanCalls = fleet.events.filter(
-    ({event}) => event === 'grant borrowed' || event === 'lender silent',
+    ({event}) => event === 'grant borrowed' || event === 'lender unresponsive',
   ).length;
   return {loanCalls, served, refused};
 }
 
 describe('BudgetHolder of a large fleet', () => {
   it(
-    'asks for no loans while a slow store answers',
+    'requests no loans while a slow store answers',
     async () => {
-      // Loans grew with every host that was busy, and made all hosts busier.
+      // Guards against a feedback loop: each busy host requested loans, which made all
+      // hosts busier.
       const holders: BudgetHolder[] = [];
       for (let host = 0; host < HOSTS; host++) {
         holders.push(await fleet.start(`host-${host}`));
--- a/packages/gateway/src/test/loan-peers_test.ts
+++ b/packages/gateway/src/test/loan-peers_test.ts
@@ -24,7 +24,7 @@
   given: [{organisation: 'school', amount: 40}],
 };
 
-/** Lends five tokens and takes gifts. */
+/** Lends five tokens and accepts handovers. */
 class FakeLoanHolder implements LoanHolder {
   readonly handovers: GrantHandover[] = [];
 
@@ -32,13 +32,13 @@
     return Promise.resolve(5);
   }
 
-  takeOver(gift: GrantHandover): boolean {
-    this.handovers.push(gift);
+  takeOver(handover: GrantHandover): boolean {
+    this.handovers.push(handover);
     return true;
   }
 }
 
-/** Lends when a test says so. */
+/** Lends only when the test calls `answer`. */
 class DeferredLoanHolder extends FakeLoanHolder {
   private readonly waiting: (() => void)[] = [];
 
@@ -47,21 +47,21 @@
     return super.lend();
   }
 
-  /** Answers the one borrower that asks, now or soon. */
+  /** Answers the next borrower, waiting for its request if necessary. */
   async answer(): Promise<void> {
-    await this.asked();
+    await this.waitForRequest();
     this.waiting.shift()?.();
   }
 
-  /** Waits until a borrower asks. */
-  async asked(): Promise<void> {
+  /** Waits for a borrower's request. */
+  async waitForRequest(): Promise<void> {
     while (this.waiting.length === 0) {
       await nextTurn();
     }
   }
 }
 
-/** Passes a turn of the event loop. */
+/** Waits for the next turn of the event loop. */
 function nextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
@@ -75,7 +75,7 @@
   let peers: ConnectLoanPeers;
 
   beforeEach(() => {
-    // No time passes: calls end by what their peer does, and none by its limit.
+    // Time is frozen: calls end because of their peer and never by their timeout.
     vi.useFakeTimers({toFake: ['setTimeout', 'clearTimeout']});
     peers = new ConnectLoanPeers();
     uncaughtErrors.length = 0;
@@ -88,7 +88,7 @@
     vi.useRealTimers();
   });
 
-  it('brings loans and gifts', async () => {
+  it('transfers loans and handovers', async () => {
     const server = await LoanServer.listen(
       {address: '127.0.0.1', port: 0},
       holder,
@@ -99,10 +99,10 @@
     await server.close();
   });
 
-  it('outlives a peer that ends while it is asked', async () => {
-    // Every caller of this host sees its connection break. Another host stops and
-    // ends its connections; a call to it fails and gives its connection up at the
-    // same time. Over HTTP/2 an error escaped then, in 10 of 300 rounds.
+  it('survives a peer that stops during a call', async () => {
+    // Guards against an uncaught error that ends the process and breaks its callers'
+    // connections. A stopping peer closes its connections while a call to it fails and
+    // abandons its connection. With HTTP/2 this failed in 10 of 300 rounds.
     for (let round = 0; round < 150; round++) {
       const server = await LoanServer.listen(
         {address: '127.0.0.1', port: 0},
@@ -127,11 +127,11 @@
   });
 });
 
-describe('ConnectLoanPeers behind a full link', () => {
-  const IDLE_LIMIT = 120;
+describe('ConnectLoanPeers behind a congested link', () => {
+  const BASE_TIMEOUT = 120;
   const DELAY = 400;
-  const LONGEST_LIMIT = 1_000;
-  const LATE_LIMIT = 5_000;
+  const MAXIMUM_TIMEOUT = 1_000;
+  const LATE_TIMEOUT = 5_000;
   let holder: DeferredLoanHolder;
   let server: LoanServer;
   let link: FakeHostLink;
@@ -151,12 +151,12 @@
     await server.close();
   });
 
-  /** Asks for a loan that is answered after so long; undefined for none. */
+  /** Requests a loan that is answered after a delay; undefined if the call fails. */
   async function borrowAfter(
     milliseconds: number,
   ): Promise<number | undefined> {
     const loan = peers.borrow(server.address, REQUEST).catch(() => undefined);
-    await holder.asked();
+    await holder.waitForRequest();
     vi.advanceTimersByTime(milliseconds);
     await nextTurn();
     await nextTurn();
@@ -164,31 +164,31 @@
     return loan;
   }
 
-  it('waits for a loan as long as the link delays the connection and the answer', async () => {
-    // Guards against lenders that are taken for silent by a host that is late itself.
+  it('extends the timeout by the link delay of the connection and the answer', async () => {
+    // Guards against a delayed host that treats its lenders as unresponsive.
     link.delayMilliseconds = DELAY;
-    expect(await borrowAfter(IDLE_LIMIT + 2 * DELAY - 1)).toBe(5);
-    expect(await borrowAfter(IDLE_LIMIT + DELAY - 1)).toBe(5);
-    expect(await borrowAfter(IDLE_LIMIT + DELAY)).toBeUndefined();
+    expect(await borrowAfter(BASE_TIMEOUT + 2 * DELAY - 1)).toBe(5);
+    expect(await borrowAfter(BASE_TIMEOUT + DELAY - 1)).toBe(5);
+    expect(await borrowAfter(BASE_TIMEOUT + DELAY)).toBeUndefined();
   });
 
-  it('waits a second at the most', async () => {
-    // Guards against a frozen lender that holds up all loans of an organisation.
+  it('waits for at most one second', async () => {
+    // Guards against a frozen lender that delays all loans of an organisation.
     link.delayMilliseconds = 2_000;
-    expect(await borrowAfter(LONGEST_LIMIT - 1)).toBe(5);
-    expect(await borrowAfter(LONGEST_LIMIT)).toBeUndefined();
+    expect(await borrowAfter(MAXIMUM_TIMEOUT - 1)).toBe(5);
+    expect(await borrowAfter(MAXIMUM_TIMEOUT)).toBeUndefined();
   });
 
-  it('takes a loan that its own late link held up beyond the limit', async () => {
-    // Guards against tokens that stay lent as their borrower has closed the connection.
+  it('delivers a loan that its own link delays beyond the timeout', async () => {
+    // Guards against tokens that stay lent because the borrower closed the connection.
     link.delayMilliseconds = DELAY;
     const connecting = vi.spyOn(Agent.prototype, 'createConnection');
     const late: Promise<number>[] = [];
     const loan = peers.borrow(server.address, REQUEST, answer => {
       late.push(answer);
     });
-    await holder.asked();
-    vi.advanceTimersByTime(LONGEST_LIMIT);
+    await holder.waitForRequest();
+    vi.advanceTimersByTime(MAXIMUM_TIMEOUT);
     expect(await loan).toBeUndefined();
     await holder.answer();
     expect(await Promise.all(late)).toEqual([5]);
@@ -197,28 +197,28 @@
     connecting.mockRestore();
   });
 
-  it('gives a loan up that its own late link does not bring in seconds', async () => {
-    // Guards against connections to frozen lenders that are kept for good.
+  it('abandons a loan that its own link delays for several seconds', async () => {
+    // Guards against connections to frozen lenders that are kept forever.
     link.delayMilliseconds = DELAY;
     const late: Promise<number>[] = [];
     const loan = peers.borrow(server.address, REQUEST, answer => {
       late.push(answer);
     });
-    await holder.asked();
-    vi.advanceTimersByTime(LONGEST_LIMIT);
+    await holder.waitForRequest();
+    vi.advanceTimersByTime(MAXIMUM_TIMEOUT);
     expect(await loan).toBeUndefined();
     expect(late).toHaveLength(1);
-    vi.advanceTimersByTime(LATE_LIMIT);
+    vi.advanceTimersByTime(LATE_TIMEOUT);
     await expect(Promise.all(late)).rejects.toBeInstanceOf(StepError);
   });
 
-  it('waits no longer than before once the link is free', async () => {
-    // Guards against requests that wait for silent lenders.
+  it('restores the usual timeout once the link is no longer congested', async () => {
+    // Guards against requests that wait for unresponsive lenders.
     link.delayMilliseconds = DELAY;
     expect(await borrowAfter(0)).toBe(5);
     link.delayMilliseconds = 0;
-    expect(await borrowAfter(IDLE_LIMIT - 1)).toBe(5);
-    expect(await borrowAfter(IDLE_LIMIT)).toBeUndefined();
-    expect(await borrowAfter(IDLE_LIMIT)).toBeUndefined();
+    expect(await borrowAfter(BASE_TIMEOUT - 1)).toBe(5);
+    expect(await borrowAfter(BASE_TIMEOUT)).toBeUndefined();
+    expect(await borrowAfter(BASE_TIMEOUT)).toBeUndefined();
   });
 });
