--- a/packages/gateway/src/bill-writer.ts
+++ b/packages/gateway/src/bill-writer.ts
@@ -9,24 +9,24 @@
 
 import {BILL_PARTITION} from './budget-topics.js';
 
-/** One bill; the host is added where it is written. */
+/** One request's bill; `BillWriter` adds the host. */
 export type NewBill = Omit<RequestBill, '$typeName' | '$unknown' | 'host'>;
 
-/** Bills wait so long, so that one call writes many: about 100 a second come. */
+/** Interval between writes. About 100 bills arrive per second and share one call. */
 const FLUSH_INTERVAL_MILLISECONDS = 1_500;
-/** Bills kept while the store is away; 20,000 are about 3 MB. */
+/** Number of bills queued while the store is unavailable; 20,000 use about 3 MB. */
 const MAXIMUM_QUEUED_BILLS = 20_000;
-/** Bills in one record: about 100 B each, well below a record's limit. */
+/** Maximum bills in one record. At about 100 B each, they stay well below its limit. */
 const MAXIMUM_BILLS_PER_RECORD = 1_000;
 
 /**
- * Writes each request's bill for people to read. What may be spent never rests on
- * it: the account has been charged before.
+ * Writes each request's bill to the store for people to read. The spending limit never
+ * depends on it: the account is charged before.
  */
 export class BillWriter {
   private queue: RequestBill[] = [];
   private droppedBills = 0;
-  /** Resolves when nothing is being written; one append at a time. */
+  /** Resolves when the last write has ended; appends run one at a time. */
   private pendingWrite: Promise<void> = Promise.resolve();
   private readonly stop = new AbortController();
 
@@ -37,7 +37,7 @@
     private readonly events: EventLog,
   ) {}
 
-  /** Takes a bill; it is written within about two seconds. */
+  /** Queues a bill, which is written within about two seconds; drops it if full. */
   add(bill: NewBill): void {
     if (this.queue.length >= MAXIMUM_QUEUED_BILLS) {
       this.droppedBills++;
@@ -46,7 +46,7 @@
     this.queue.push(create(RequestBillSchema, {...bill, host: this.host}));
   }
 
-  /** Writes until it is closed. */
+  /** Writes queued bills at each interval until the writer is closed. */
   async run(): Promise<void> {
     while (!this.stop.signal.aborted) {
       await this.clock.sleep(FLUSH_INTERVAL_MILLISECONDS, this.stop.signal);
@@ -54,19 +54,19 @@
     }
   }
 
-  /** Writes what is left, if the store answers. */
+  /** Stops the writer after a last attempt to write the queued bills. */
   async close(): Promise<void> {
     this.stop.abort();
     await this.flush();
   }
 
-  /** Ends at once; bills that were not written are lost. */
+  /** Stops immediately; bills that are not written yet are lost. */
   abort(): void {
     this.queue = [];
     this.stop.abort();
   }
 
-  /** Resolves when all that waits is written, or the store gives no answer. */
+  /** Resolves when all queued bills are written or the store does not answer. */
   flush(): Promise<void> {
     this.pendingWrite = this.pendingWrite.then(() => this.writeAll());
     return this.pendingWrite;
@@ -89,10 +89,11 @@
       ]);
       return true;
     } catch (error) {
-      // A bill that stands twice bears the same request: readers take the first.
+      // The append may have succeeded, so that a bill is written twice. Both have the
+      // same request identifier, and readers use the first.
       this.queue = [...bills, ...this.queue];
       this.events.warn('bills not written', {
-        waiting: this.queue.length,
+        queued: this.queue.length,
         dropped: this.droppedBills,
         reason: String(error),
       });
--- a/packages/gateway/src/budget-answer.ts
+++ b/packages/gateway/src/budget-answer.ts
@@ -7,21 +7,22 @@
 } from './own-answer.js';
 import {BudgetRefusal} from './token-waiters.js';
 
-/** Without a budget's grant now, one is likely after about this long. */
+/** `Retry-After` while other holders have the tokens: a grant is likely by then. */
 const BUDGET_RETRY_MILLISECONDS = 600;
 /**
- * An outage of unknown length lasts, at the median, about as long again as it has
- * lasted; within these bounds that is when to come back. Load: the store is away for
- * 9 s and a small budget's grants are used up. Harm: callers that return at once are
- * refused again, and have no try left when the store is back.
+ * Bounds of the retry delay while the store is unavailable. The median remaining time of
+ * an outage is about the time that it has already lasted, so that is the delay between
+ * these bounds. When a 9 s outage uses up a small budget's grants, callers that retry
+ * immediately are refused again and have no attempts left when the store is back.
  */
 const MINIMUM_STORE_RETRY_MILLISECONDS = 1_000;
 const MAXIMUM_STORE_RETRY_MILLISECONDS = 5_000;
 
 /**
- * What a caller is told whose request got no reservation.
+ * Builds the answer to a caller whose request got no reservation.
  *
- * @param unavailableMilliseconds How long the store has been away; 0 where it is not.
+ * @param unavailableMilliseconds How long the store has been unavailable; 0 if it is
+ *     available.
  */
 export function budgetAnswer(
   refusal: BudgetRefusal,
--- a/packages/gateway/src/keyed-follower.ts
+++ b/packages/gateway/src/keyed-follower.ts
@@ -9,33 +9,37 @@
 
 import type {StoreHealth} from './store-health.js';
 
-/** Takes what a keyed topic says. */
+/** Receives the records of a keyed topic. */
 export abstract class KeyedTopicReader {
-  /** One key has a new value; undefined where it was dropped. */
+  /** A key has a new value; the value is undefined if the key was deleted. */
   abstract changed(record: KeyedRecord): void;
 
-  /** These are all keys there are; any other has gone. */
+  /** Replaces all keys: those not in the list no longer exist. */
   abstract replaced(records: readonly KeyedRecord[]): void;
 
-  /** Every record written before this time has been passed on; monotonic clock. */
+  /**
+   * Reports that every record written before a time has been delivered.
+   *
+   * @param asOf Monotonic time, milliseconds.
+   */
   abstract caughtUp(asOf: number): void;
 }
 
-/** How a topic is followed. */
+/** Options of a `KeyedTopicFollower`. */
 export interface FollowOptions {
   readonly partition: Partition;
   /** How long one read waits for a record, milliseconds. */
   readonly waitMilliseconds: number;
-  /** Pause after all was read, so that many changes come with one call. */
+  /** Pause after reading all records, milliseconds; one call then reads many changes. */
   readonly pauseMilliseconds: number;
 }
 
-/** Before a call that failed is made again; the store's own calls take 4 ms. */
+/** Pause before a failed call is repeated; a call to the store takes 4 ms. */
 const RETRY_INTERVAL_MILLISECONDS = 250;
 
 /**
- * Follows the newest value of each key of a topic: the list first, then changes.
- * Where the store has dropped the records in between, the list is read again.
+ * Follows the newest value of each key of a topic: it reads the list of all keys, then
+ * the changes. If the store has dropped records in between, it reads the list again.
  */
 export class KeyedTopicFollower {
   private readonly stop = new AbortController();
@@ -50,7 +54,7 @@
     private readonly events: EventLog,
   ) {}
 
-  /** Follows until it is closed. */
+  /** Follows the topic until the follower is closed. */
   async run(): Promise<void> {
     while (!this.stop.signal.aborted) {
       try {
@@ -62,7 +66,7 @@
     }
   }
 
-  /** Ends after the call in progress. */
+  /** Stops after the call in progress. */
   close(): void {
     this.stop.abort();
   }
@@ -100,7 +104,7 @@
       this.events.warn('record ignored', {
         topic: this.options.partition.topic,
         offset,
-        reason: 'no keyed record',
+        reason: 'not a keyed record',
       });
       return;
     }
--- a/packages/gateway/src/store-health.ts
+++ b/packages/gateway/src/store-health.ts
@@ -3,35 +3,37 @@
 
 import type {LoopLag} from './loop-lag.js';
 
-/** A store that is well answers in some milliseconds. */
+/**
+ * The store counts as unresponsive once a call has waited this long. A healthy store
+ * answers in some milliseconds.
+ */
 const MAXIMUM_RESPONSIVE_MILLISECONDS = 250;
-/** A call is not late before this, however fast the store is. */
+/** Minimum time before a call counts as late, however fast the store is. */
 const MINIMUM_LATE_MILLISECONDS = 60;
-/** A call is late after so many times the usual. */
+/** A call is late after this multiple of the typical time. */
 const LATE_FACTOR = 3;
-/** Calls over which the usual time falls; it rises with one. */
+/** Number of calls over which the typical time decreases; one call increases it. */
 const SMOOTHING_CALLS = 8;
 /** An exchange with the store is an append and a read. */
 const CALLS_PER_EXCHANGE = 2;
-/** While calls fail this is told no more often. */
+/** Minimum interval between log lines while calls fail. */
 const LOG_INTERVAL_MILLISECONDS = 2_000;
 
-/** Delays of this host itself, which make the store's answers late. */
+/** Delays of this host, which make the store's answers late. */
 export interface HostDelays {
-  /** Of the event loop; excluded from the time that a call has waited. */
+  /** Lag of the event loop. It is excluded from the time that a call has waited. */
   readonly lag?: LoopLag;
   /**
-   * Of this host. Its delay is excluded from the time that a call has waited; a timeout
-   * while it is congested is no outage.
+   * This host's link. Its delay is excluded from the time that a call has waited; a
+   * timeout while it is congested is not an outage.
    */
   readonly link?: HostLink;
 }
 
 /**
- * Whether one topic of the store answers, as this host sees it. Load: the store is
- * down for some of its partitions only. Harm of one state for all topics: it changes
- * with every answer, and requests are refused for budget although the budgets' topic
- * answers.
+ * Tracks whether one topic of the store answers this host. The store may be down for only
+ * some of its partitions. A shared state for all topics would change with every answer,
+ * and requests would be refused for lack of budget although the budgets' topic answers.
  */
 export class StoreHealth {
   private lastAnswerAt: number | undefined;
@@ -44,8 +46,8 @@
   private typicalMilliseconds = 0;
 
   /**
-   * @param topic What is followed, for logs.
-   * @param delays Of this host; not attributed to the store.
+   * @param topic Name of the topic, for logs.
+   * @param delays This host's own delays, which are not attributed to the store.
    */
   constructor(
     private readonly topic: string,
@@ -53,50 +55,50 @@
     private readonly delays: HostDelays = {},
   ) {}
 
-  /** True while the newest calls fail. */
+  /** True while calls fail, until one is answered. */
   get isAway(): boolean {
     return this.failingSince !== undefined;
   }
 
   /**
    * True while the store itself fails. Calls that time out while this host's link is
-   * congested begin no outage: otherwise endpoints that left in that time would be kept
-   * as lapsed, and would get requests.
+   * congested do not start an outage. Otherwise endpoints that left during that time
+   * would be kept as lapsed and would get requests.
    */
   get isOutage(): boolean {
     return this.hasOutage;
   }
 
-  /** How long ago an outage ended; 0 during one, milliseconds. */
+  /** Milliseconds since the last outage ended; 0 during one, infinite before any. */
   sinceOutage(now: number): number {
     return this.hasOutage ? 0 : now - this.lastOutageEndedAt;
   }
 
-  /** How long the calls have failed; 0 while they don't, milliseconds. */
+  /** Milliseconds for which calls have failed; 0 while they are answered. */
   awayFor(now: number): number {
     return this.failingSince === undefined ? 0 : now - this.failingSince;
   }
 
-  /** Age of the newest answer, milliseconds. */
+  /** Age of the newest answer, milliseconds; infinite before any. */
   answerAge(now: number): number {
     return this.lastAnswerAt === undefined ? Infinity : now - this.lastAnswerAt;
   }
 
-  /** How much longer an exchange takes for this host's own link, milliseconds. */
+  /** Delay of an exchange with the store by this host's own link, milliseconds. */
   get linkDelayMilliseconds(): number {
     return CALLS_PER_EXCHANGE * (this.delays.link?.delayMilliseconds ?? 0);
   }
 
-  /** The newest call was made. */
+  /** Records that a call was sent. */
   called(now: number): void {
     this.calledAt = now;
     this.delays.lag?.start(MAXIMUM_RESPONSIVE_MILLISECONDS);
   }
 
   /**
-   * Whether answers come without delay. Load: a data centre is cut off in silence, and
-   * the first call that shows it times out a second later. Harm of going by failed
-   * calls alone: all that while requests begin on tokens that do not come.
+   * Whether the store answers without delay. When a data centre is partitioned without an
+   * error, the first affected call times out a second later. If only failed calls
+   * counted, requests would start during that second on tokens that do not come.
    */
   isResponsive(now: number): boolean {
     return (
@@ -107,27 +109,28 @@
   }
 
   /**
-   * Until the newest call is late by the usual time of answers here, which holds what
-   * the process itself is late by. Load: sixty busy hosts, whose calls take 0.1 s. Harm
-   * of a fixed limit: each host works around a store that is well, and is busier.
+   * Time until the newest call counts as late. The limit depends on the typical time of
+   * answers at this host, which includes the delay of this process itself. The calls of
+   * sixty busy hosts take 0.1 s. With a fixed limit each host would borrow from others
+   * although the store is healthy, and would be busier still.
    *
-   * @returns Milliseconds; 0 where it is late, or the store is away.
+   * @returns Milliseconds; 0 if the call is late or the store is unavailable.
    */
   millisecondsUntilLate(now: number): number {
     if (this.isAway) {
       return 0;
     }
-    const late = Math.min(
+    const limit = Math.min(
       MAXIMUM_RESPONSIVE_MILLISECONDS,
       Math.max(
         MINIMUM_LATE_MILLISECONDS,
         LATE_FACTOR * this.typicalMilliseconds,
       ),
     );
-    return Math.max(0, late - this.waitedMilliseconds(now));
+    return Math.max(0, limit - this.waitedMilliseconds(now));
   }
 
-  /** A call was answered. */
+  /** Records that a call was answered. */
   answered(now: number): void {
     this.delays.lag?.stop();
     if (this.calledAt !== undefined) {
@@ -140,7 +143,7 @@
     if (this.failingSince !== undefined) {
       this.events.info('store regained', {
         topic: this.topic,
-        awayMilliseconds: Math.round(now - this.failingSince),
+        unavailableMilliseconds: Math.round(now - this.failingSince),
       });
       this.failingSince = undefined;
     }
@@ -151,7 +154,7 @@
     this.lastAnswerAt = now;
   }
 
-  /** A call was not answered, or refused. */
+  /** Records that a call was refused or not answered. */
   failed(now: number, error: unknown): void {
     this.delays.lag?.stop();
     this.calledAt = undefined;
@@ -174,7 +177,7 @@
       this.loggedAt = now;
       this.events.warn('store still lost', {
         topic: this.topic,
-        awayMilliseconds: Math.round(this.awayFor(now)),
+        unavailableMilliseconds: Math.round(this.awayFor(now)),
         failures: this.failures,
         reason: String(error),
         isLinkDelay,
@@ -182,7 +185,7 @@
     }
   }
 
-  /** How long the newest call has waited, without this host's delays, milliseconds. */
+  /** Milliseconds that the newest call has waited, less this host's own delays. */
   private waitedMilliseconds(now: number): number {
     return this.calledAt === undefined
       ? 0
--- a/packages/gateway/src/test/bill-writer_test.ts
+++ b/packages/gateway/src/test/bill-writer_test.ts
@@ -41,15 +41,15 @@
 }
 
 describe('BillWriter', () => {
-  it('writes all bills that wait before it ends', async () => {
-    // Guards against bills of an outage that are lost where a host stops after it.
+  it('writes all queued bills before it closes', async () => {
+    // Guards against losing the bills of an outage when the host stops after it.
     add(2_500);
     await bills.close();
     expect(new Set(await written()).size).toBe(2_500);
   });
 
-  it('ends after the bills that it is writing', async () => {
-    // Guards against an end between a bill's way to the store and the store's answer.
+  it('closes after the write in progress', async () => {
+    // Guards against closing between an append and the store's answer to it.
     let answered = 0;
     const append = log.append.bind(log);
     log.append = async (partition, records) => {
@@ -67,8 +67,8 @@
     await running;
   });
 
-  it('ends where the store is away', async () => {
-    // Guards against a stop that waits for an outage to end.
+  it('closes while the store is unavailable', async () => {
+    // Guards against a host that waits for the end of an outage before it stops.
     log.faults.isAway = true;
     add(1);
     await bills.close();
--- a/packages/gateway/src/test/keyed-follower_test.ts
+++ b/packages/gateway/src/test/keyed-follower_test.ts
@@ -10,7 +10,7 @@
 const PARTITION = {topic: 'keyed.topic', partition: 0};
 const PAUSE_MILLISECONDS = 350;
 
-/** Answers reads with some records at a time. */
+/** Limits the number of records that each read returns. */
 class PagedLog extends MemoryPartitionedLog {
   reads = 0;
 
@@ -38,7 +38,7 @@
   }
 
   override replaced(): void {
-    // These tests look at changes alone.
+    // These tests check changes only.
   }
 
   override caughtUp(asOf: number): void {
@@ -60,7 +60,7 @@
     follower.close();
   });
 
-  /** Follows a topic that gets twenty records after its list was read. */
+  /** Follows a topic that gets twenty records after the list of keys was read. */
   async function follow(log: MemoryPartitionedLog): Promise<void> {
     const events = EventLog.create(LogLevel.INFO, {}, () => undefined);
     follower = new KeyedTopicFollower(
@@ -82,8 +82,8 @@
     }
   }
 
-  it('reads on at once where one answer does not hold all', async () => {
-    // Guards against a list that grows old since its pages are small on a full link.
+  it('reads on without a pause when an answer does not contain all records', async () => {
+    // Guards against outdated values when a congested link makes the pages small.
     await follow(new PagedLog(3));
     await clock.advance(PAUSE_MILLISECONDS);
     for (let turn = 0; turn < 20; turn++) {
@@ -93,8 +93,8 @@
     expect(reader.caughtUpAt).toBeGreaterThanOrEqual(1);
   });
 
-  it('pauses where it has read all, and where an answer brings nothing', async () => {
-    // Guards against a host that asks the store without a pause.
+  it('pauses when all records are read and after an empty answer', async () => {
+    // Guards against a host that calls the store without a pause.
     const log = new PagedLog(0);
     await follow(log);
     log.reads = 0;
--- a/packages/gateway/src/test/store-health_test.ts
+++ b/packages/gateway/src/test/store-health_test.ts
@@ -9,7 +9,7 @@
 import {LoopLag} from '../loop-lag.js';
 import {StoreHealth} from '../store-health.js';
 
-/** Of a call to a store that says nothing. */
+/** Returns the error of a call to a store that does not answer. */
 async function timeoutOfCall(): Promise<unknown> {
   const server = createServer();
   server.listen(0, '127.0.0.1');
@@ -39,15 +39,15 @@
     health.answered(from + milliseconds);
   }
 
-  it('calls a fast store late after a short time', () => {
+  it('treats a call to a fast store as late after a short time', () => {
     exchange(0, 10);
     health.called(100);
     expect(health.millisecondsUntilLate(130)).toBe(30);
     expect(health.millisecondsUntilLate(160)).toBe(0);
   });
 
-  it('waits longer for a store that is slow as usual, within a limit', () => {
-    // Busy hosts took a store that was slow as usual for one that did not answer.
+  it('waits longer for a store that is typically slow, within a limit', () => {
+    // Guards against busy hosts that treat a typically slow store as unresponsive.
     exchange(0, 70);
     health.called(100);
     expect(health.millisecondsUntilLate(200)).toBe(110);
@@ -57,7 +57,7 @@
     expect(health.millisecondsUntilLate(2_250)).toBe(0);
   });
 
-  it('waits for nothing while the store is away', () => {
+  it('does not wait while the store is unavailable', () => {
     exchange(0, 100);
     health.failed(200, 'gone');
     expect(health.millisecondsUntilLate(201)).toBe(0);
@@ -123,7 +123,7 @@
   });
 });
 
-describe('StoreHealth of a host whose link is full', () => {
+describe('StoreHealth of a host whose link is congested', () => {
   const DELAY_MILLISECONDS = 500;
   let link: FakeHostLink;
   let health: StoreHealth;
@@ -144,7 +144,7 @@
     expect(health.isResponsive(1_250)).toBe(false);
   });
 
-  it('counts all of it once the link is free', () => {
+  it('counts all waiting time once the link is no longer congested', () => {
     // Guards against requests that keep waiting for an unreachable store.
     link.delayMilliseconds = DELAY_MILLISECONDS;
     expect(health.isResponsive(300)).toBe(true);
@@ -154,7 +154,7 @@
   });
 });
 
-describe('StoreHealth of a store that stays away', () => {
+describe('StoreHealth of a store that stays unavailable', () => {
   let link: FakeHostLink;
   let lines: Record<string, unknown>[];
   let health: StoreHealth;
@@ -179,24 +179,24 @@
     return lines.filter(({event}) => event === 'store still lost');
   }
 
-  it('says every two seconds that calls go on failing', () => {
-    // Guards against an outage of which only the first failure has a line.
+  it('logs every two seconds that calls keep failing', () => {
+    // Guards against an outage of which only the first failure is logged.
     failEach(500, 1_000, 6_000);
     expect(lines.filter(({event}) => event === 'store lost')).toHaveLength(1);
     expect(stillLost()).toMatchObject([
       {
         topic: 'budgets',
-        awayMilliseconds: 2_000,
+        unavailableMilliseconds: 2_000,
         failures: 5,
         reason: 'refused',
         isLinkDelay: false,
       },
-      {awayMilliseconds: 4_000, failures: 9},
+      {unavailableMilliseconds: 4_000, failures: 9},
     ]);
   });
 
-  it('tells for each line whether the link was full', async () => {
-    // Guards against an outage whose later failures pass for the link's.
+  it('logs in each line whether the link was congested', async () => {
+    // Guards against outages whose later failures are attributed to the link.
     const timeout = await timeoutOfCall();
     health.failed(1_000, 'refused');
     link.delayMilliseconds = 500;
@@ -209,11 +209,13 @@
     ]);
   });
 
-  it('begins anew after an answer', () => {
-    // Guards against lines that count an earlier outage.
+  it('resets the time and the count of failures after an answer', () => {
+    // Guards against log lines that include an earlier outage.
     failEach(500, 1_000, 2_500);
     health.answered(2_600);
     failEach(500, 3_000, 5_000);
-    expect(stillLost()).toMatchObject([{awayMilliseconds: 2_000, failures: 5}]);
+    expect(stillLost()).toMatchObject([
+      {unavailableMilliseconds: 2_000, failures: 5},
+    ]);
   });
 });
