--- a/packages/gateway/src/budget-codec.ts
+++ b/packages/gateway/src/budget-codec.ts
@@ -10,13 +10,13 @@
 
 const RECORD_READER = new PlainMessageReader(BudgetRecordSchema);
 
-/** What a record changes. */
+/** The change that a record describes. */
 export type BudgetChange = Exclude<
   BudgetRecord['change'],
   {case: undefined; value?: undefined}
 >;
 
-/** One record of this process. */
+/** Creates a record of this process. */
 export function budgetRecord(
   incarnation: string,
   sequence: number,
@@ -25,12 +25,12 @@
   return create(BudgetRecordSchema, {incarnation, sequence, change});
 }
 
-/** Bytes of a record. */
+/** Encodes a record. */
 export function encodeRecord(record: BudgetRecord): Uint8Array {
   return toBinary(BudgetRecordSchema, record);
 }
 
-/** A record; undefined for bytes that are none, which the fold passes over. */
+/** Decodes a record; undefined for other bytes, which the fold skips. */
 export function decodeRecord(bytes: Uint8Array): BudgetRecord | undefined {
   return (
     RECORD_READER.read(bytes) ??
@@ -38,12 +38,12 @@
   );
 }
 
-/** Bytes of a checkpoint. */
+/** Encodes a checkpoint. */
 export function encodeCheckpoint(checkpoint: BudgetCheckpoint): Uint8Array {
   return toBinary(BudgetCheckpointSchema, checkpoint);
 }
 
-/** A checkpoint; undefined for bytes that are none. */
+/** Decodes a checkpoint; undefined for other bytes. */
 export function decodeCheckpoint(
   bytes: Uint8Array,
 ): BudgetCheckpoint | undefined {
@@ -54,7 +54,7 @@
   try {
     return decode();
   } catch {
-    // Foreign bytes are no message; whoever asked logs that.
+    // The bytes are not a message of this type. The caller decides whether to log it.
     return undefined;
   }
 }
--- a/packages/gateway/src/budget-holder.ts
+++ b/packages/gateway/src/budget-holder.ts
@@ -6,8 +6,8 @@
 import type {Clock} from '@wisteriadeal/platform';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import {BudgetRegistry} from './budget-registry.js';
 import type {BudgetJournal} from './budget-journal.js';
+import {BudgetRegistry} from './budget-registry.js';
 import type {BudgetReplica} from './budget-replica.js';
 import type {FleetConfiguration} from './configuration.js';
 import {GrantBorrower} from './grant-borrower.js';
@@ -18,22 +18,22 @@
 import type {StoreHealth} from './store-health.js';
 import {TokenReservations} from './token-reservations.js';
 
-/** The log is read at least this often: others' grants decide what is left. */
+/** Maximum interval between reads: other processes' grants reduce what is left. */
 const POLL_INTERVAL_MILLISECONDS = 700;
-/** Between turns while records are to be written. */
+/** Interval between exchanges while records are waiting to be written. */
 const PENDING_RECORDS_INTERVAL_MILLISECONDS = 5;
-/** Between turns while requests wait for tokens that others may give back. */
+/** Interval between exchanges while requests wait for tokens of other holders. */
 const WAITING_REQUESTS_INTERVAL_MILLISECONDS = 25;
-/** Between turns while the store fails. */
+/** Interval between exchanges while the store fails. */
 const RETRY_INTERVAL_MILLISECONDS = 200;
 
 /**
- * Holds this process's grants: reservations are taken from them without a message.
- * One task keeps them filled through the log; while the store is away, holders that
- * see each other lend.
+ * Manages this process's grants, from which requests reserve tokens without a message.
+ * One task refills the grants through the log. While the store is unavailable, holders
+ * that can reach each other lend tokens.
  */
 export class BudgetHolder {
-  /** What requests use and get. */
+  /** Reservations of tokens for requests. */
   readonly reservations: TokenReservations;
   private readonly registry: BudgetRegistry;
   private readonly grantLender: GrantLender;
@@ -88,27 +88,27 @@
     );
   }
 
-  /** True once this process may hold grants. */
+  /** True once the fold has opened this process, so that it may hold grants. */
   get isReady(): boolean {
     return this.hasOpened;
   }
 
-  /** Processes that share the budgets, this one included. */
+  /** Number of processes that share the budgets, including this one. */
   get holders(): number {
     return Math.max(1, this.replica.fold.holders.size);
   }
 
-  /** What other holders call. */
+  /** The service that other holders call. */
   get lender(): LoanHolder {
     return this.grantLender;
   }
 
-  /** What is known of an organisation's budget here, for dumps. */
+  /** This process's state of an organisation's budget, for state dumps. */
   describe(organisation: string): Readonly<Record<string, number>> | undefined {
     return this.registry.describe(organisation);
   }
 
-  /** Takes the budgets of a configuration that has come into force. */
+  /** Applies the budgets of a configuration that has come into force. */
   configure(configuration: FleetConfiguration): void {
     for (const {name, prepaid} of configuration.organisations) {
       if (prepaid !== undefined) {
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Whether this host's callers are led to other hosts, which then need what is in hand
-   * here where the log has little.
+   * Sets whether this host's callers are redirected to other hosts. Those hosts then need
+   * the tokens available here if the log has few.
    */
   setLeaving(isLeaving: boolean): void {
     if (isLeaving !== this.planner.isLeaving) {
@@ -129,16 +129,16 @@
     }
   }
 
-  /** Keeps the grants filled until it is closed. */
+  /** Refills the grants until the holder is closed. */
   run(): Promise<void> {
     this.running = this.runExchanges();
     return this.running;
   }
 
   /**
-   * Returns what nobody has reserved; ends when the store has it, or fails. While the
-   * store is away another holder gets it: the whole would be lost, and hosts are
-   * stopped in turn also during an outage.
+   * Returns all unreserved tokens to the store and resolves when it has accepted them or
+   * failed. While the store is unavailable, the tokens go to another holder. They would
+   * be lost otherwise, because hosts are also stopped one by one during an outage.
    */
   async close(): Promise<void> {
     this.beginClosing();
@@ -154,13 +154,13 @@
     this.peers.close();
   }
 
-  /** Ends at once; what is held stays charged. */
+  /** Stops immediately; tokens held stay charged. */
   abort(): void {
     this.beginClosing();
     this.peers.close();
   }
 
-  /** Takes, lends and asks for nothing more. */
+  /** Stops reservations, loans and exchanges. */
   private beginClosing(): void {
     this.isClosing = true;
     this.reservations.close();
@@ -186,7 +186,7 @@
       return;
     }
     if (prepaid < budget.prepaid) {
-      // Grants given under the larger budget could be spent beyond the new one.
+      // Tokens granted from the larger budget could be spent beyond the lowered one.
       this.planner.returnTokens(budget, budget.account.available);
     }
     if (prepaid !== budget.prepaid) {
@@ -194,7 +194,7 @@
       this.events.info('budget changed', {
         organisation: name,
         prepaid,
-        before: budget.prepaid,
+        previousPrepaid: budget.prepaid,
         version,
       });
     }
@@ -202,7 +202,7 @@
     budget.configurationVersion = version;
   }
 
-  /** Takes all that no request has reserved off the accounts. */
+  /** Debits all unreserved tokens from the accounts. */
   private debitAvailable(): readonly GrantAmount[] {
     return this.registry.all
       .map(({name, account}) => ({
@@ -212,7 +212,11 @@
       .filter(({amount}) => amount > 0);
   }
 
-  /** One exchange with the store; returns the pause before the next. */
+  /**
+   * Performs one exchange with the store.
+   *
+   * @returns The pause before the next exchange, milliseconds.
+   */
   private async exchange(): Promise<number> {
     try {
       this.planGrants();
@@ -280,7 +284,7 @@
     }
   }
 
-  /** What the process before this one on the host had, and took with it. */
+  /** Logs the grants of this host's previous process, which were charged in full. */
   private logClosedGrants(closed: readonly ClosedGrant[]): void {
     for (const {organisation, charged, lastHeld} of closed) {
       this.events.info('grant of an ended process closed', {
--- a/packages/gateway/src/budget-journal.ts
+++ b/packages/gateway/src/budget-journal.ts
@@ -7,20 +7,20 @@
 import type {BudgetReplica} from './budget-replica.js';
 import {BUDGET_PARTITION} from './budget-topics.js';
 
-/** How this process is known to the others. */
+/** Identity of this process among the holders. */
 export interface HolderIdentity {
-  /** Names the host and the address that one process listens on. */
+  /** Identifies the host and the address that only one process listens on. */
   readonly host: string;
-  /** Where other holders ask for loans. */
+  /** `IP:port` where other holders request loans. */
   readonly peerAddress: string;
-  /** Gives an identifier that was never used. */
+  /** Generates an identifier that was never used before. */
   newIncarnation(): string;
 }
 
 /**
- * Brings this process's records onto the log, in order and each until it stands
- * there. An append whose answer was lost is looked up first and made again where it
- * is missing: the fold takes each record once.
+ * Writes this process's records to the log in order and retries each until it is there.
+ * After an append whose answer was lost, it reads the log first and repeats the append
+ * only for missing records. The fold applies each record once.
  */
 export class BudgetJournal {
   private currentIncarnation: string;
@@ -37,17 +37,17 @@
     this.addOpening();
   }
 
-  /** Identifies this process in the fold. */
+  /** The identifier of this process in the fold. */
   get incarnation(): string {
     return this.currentIncarnation;
   }
 
-  /** The fold knows this process and takes its records. */
+  /** Whether the fold accepts this process's records. */
   get isOpen(): boolean {
     return this.replica.fold.isOpen(this.currentIncarnation);
   }
 
-  /** Records wait to be written. */
+  /** Whether records are waiting to be written. */
   get hasPending(): boolean {
     return this.pending.length > 0;
   }
@@ -61,8 +61,9 @@
   }
 
   /**
-   * Takes a new incarnation: another process claims this host, or a late copy of
-   * an old claim was folded. What was granted is charged already.
+   * Starts a new incarnation after the fold has closed this one: another process opened
+   * on this host, or a delayed duplicate of an older opening was folded. The grants of
+   * the closed incarnation are charged already.
    */
   reopen(): void {
     this.events.warn('budget holder fenced', {
@@ -75,10 +76,11 @@
   }
 
   /**
-   * Writes what is pending and reads what has come.
+   * Writes the pending records and reads new ones.
    *
-   * @returns What the log says to this process: verdicts, and loans to it.
-   * @throws StepError where the store gave no usable answer.
+   * @returns Outcomes that concern this process: its opening, verdicts on its grant
+   *     requests and loans to it.
+   * @throws StepError if the store gave no usable answer.
    */
   async exchange(): Promise<readonly FoldOutcome[]> {
     const batch = [...this.pending];
--- a/packages/gateway/src/budget-registry.ts
+++ b/packages/gateway/src/budget-registry.ts
@@ -6,7 +6,7 @@
 import type {StoreHealth} from './store-health.js';
 import {BudgetRefusal} from './token-waiters.js';
 
-/** All budgets as this process holds them, beside what the log says of each. */
+/** All organisations' budgets in this process, with the log's view of each. */
 export class BudgetRegistry {
   private readonly budgets = new Map<string, OrganisationBudget>();
 
@@ -16,12 +16,12 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Every organisation's. */
+  /** The budgets of all organisations. */
   get all(): readonly OrganisationBudget[] {
     return [...this.budgets.values()];
   }
 
-  /** One organisation's; undefined where it has none. */
+  /** One organisation's budget; undefined if it has none. */
   get(organisation: string): OrganisationBudget | undefined {
     return this.budgets.get(organisation);
   }
@@ -31,17 +31,17 @@
     this.budgets.set(budget.name, budget);
   }
 
-  /** A budget as the log is known; undefined before any grant. */
+  /** The budget as of the fold's offset; undefined before any grant. */
   view(organisation: string): BudgetView | undefined {
     return this.replica.fold.view(organisation);
   }
 
-  /** Now, on the monotonic clock, milliseconds. */
+  /** Current monotonic time, milliseconds. */
   now(): number {
     return this.clock.monotonicMilliseconds();
   }
 
-  /** What is known of an organisation's budget here, for dumps. */
+  /** This process's state of an organisation's budget, for state dumps. */
   describe(organisation: string): Readonly<Record<string, number>> | undefined {
     const budget = this.budgets.get(organisation);
     if (budget === undefined) {
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Why a request got no tokens in time. Load: a data centre is cut off, and calls to
-   * the store have not given up yet. Harm of naming others' hands while the log is
-   * known to have enough: callers come back after 0.6 s, into the same outage.
+   * The reason why a request got no tokens in time. When a data centre is partitioned,
+   * calls to the store may not have timed out yet. `HeldElsewhere` would be wrong then
+   * if the log has enough tokens: callers would retry after 0.6 s into the same outage.
    */
   timeoutRefusal(budget: OrganisationBudget, bound: number): BudgetRefusal {
     const view = this.view(budget.name);
--- a/packages/gateway/src/budget-replica.ts
+++ b/packages/gateway/src/budget-replica.ts
@@ -24,25 +24,25 @@
 } from './budget-topics.js';
 
 /**
- * A checkpoint is written after so many records, by the holder whose turn it is.
- * Without one, a process that has just started folds all records since the last, and
- * its callers wait for its first grant meanwhile.
+ * Number of records after which the holder whose turn it is writes a checkpoint. A
+ * process that has just started folds all records since the last checkpoint, and its
+ * callers wait for its first grant meanwhile.
  */
 const CHECKPOINT_RECORDS = 1_000;
 
-/** This process's copy of the fold, and how it keeps up with the log. */
+/** This process's copy of the fold, which it updates from the log. */
 export class BudgetReplica {
   private currentFold = new BudgetFold();
   private isLoaded = false;
   private checkpointOffset = 0;
   private checkpointWrittenAt: number;
   private checkpointTurn = 0;
-  /** What folded records say to processes, until a read to the end has returned it. */
+  /** Outcomes of folded records that no read to the end of the log has returned yet. */
   private unreportedOutcomes: FoldOutcome[] = [];
 
   /**
-   * @param checkpointMilliseconds A checkpoint is written when the newest is
-   *     older, long before the platform drops what leads to it.
+   * @param checkpointMilliseconds Maximum age of the newest checkpoint. It is much less
+   *     than the time after which the platform drops records.
    */
   constructor(
     private readonly log: PartitionedLog,
@@ -53,17 +53,17 @@
     this.checkpointWrittenAt = clock.monotonicMilliseconds();
   }
 
-  /** The fold as far as this process has read. */
+  /** The fold up to the last record that this process has read. */
   get fold(): BudgetFold {
     return this.currentFold;
   }
 
   /**
-   * Reads to the end of the log as it is now. What was read before a call that fails
-   * is returned by the next.
+   * Reads to the current end of the log. Outcomes read before a failed call are returned
+   * by the next one.
    *
-   * @returns What the records say to processes, in their order.
-   * @throws StepError where the store gave no usable answer.
+   * @returns Outcomes of the records, in log order.
+   * @throws StepError if the store gave no usable answer.
    */
   async catchUp(): Promise<readonly FoldOutcome[]> {
     if (!this.isLoaded) {
@@ -80,15 +80,14 @@
     }
   }
 
-  /** Folds records that this process knows to stand at the next offsets. */
+  /** Applies this process's own records, which the log has placed at the next offsets. */
   applyOwn(records: readonly BudgetRecord[]): readonly FoldOutcome[] {
     this.applyAll(records);
     return this.takeUnreportedOutcomes();
   }
 
   /**
-   * Writes a checkpoint where the newest one known is getting old, or it is this
-   * holder's turn.
+   * Writes a checkpoint if the newest known one is too old or it is this holder's turn.
    */
   async checkpointIfDue(incarnation: string): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
@@ -111,7 +110,12 @@
     this.events.info('budget checkpoint written', {offset});
   }
 
-  /** Holders take turns by the log's offset; a dead one's turn is passed over. */
+  /**
+   * Advances to the turn of the current offset. Holders take turns by offset; the turn of
+   * a holder that has failed is skipped.
+   *
+   * @returns Whether a new turn has begun that belongs to this incarnation.
+   */
   private advanceCheckpointTurn(incarnation: string): boolean {
     const turn = Math.floor(this.currentFold.nextOffset / CHECKPOINT_RECORDS);
     if (turn === this.checkpointTurn) {
--- a/packages/gateway/src/budget-topics.ts
+++ b/packages/gateway/src/budget-topics.ts
@@ -1,21 +1,21 @@
 import type {Partition} from '@wisteriadeal/platform';
 
-/** How grants move. One partition: its order is the order of all verdicts. */
+/** Records of grants. A single partition defines one order of all verdicts. */
 export const BUDGET_PARTITION: Partition = {
   topic: 'wisteriadeal-budgets',
   partition: 0,
 };
 
-/** States of the fold, for readers that come late. */
+/** Checkpoints of the fold, for readers that start after records were dropped. */
 export const CHECKPOINT_PARTITION: Partition = {
   topic: 'keyed.wisteriadeal-checkpoints',
   partition: 0,
 };
 
-/** Key of the newest checkpoint. */
+/** Key of the newest checkpoint in `CHECKPOINT_PARTITION`. */
 export const CHECKPOINT_KEY = 'budgets-0';
 
-/** One line for each request that was sent to an endpoint; for people. */
+/** Bills of requests that were sent to an endpoint, for people to read. */
 export const BILL_PARTITION: Partition = {
   topic: 'wisteriadeal-bills',
   partition: 0,
--- a/packages/gateway/src/grant-planner.ts
+++ b/packages/gateway/src/grant-planner.ts
@@ -15,15 +15,15 @@
 import {BudgetRefusal} from './token-waiters.js';
 
 /**
- * After a denial the log is not asked for so long. Load: an organisation at its
- * budget's end sends many times its usual. Harm without it: twice as many calls to the
- * store, each with the same answer.
+ * Pause between a denial for waiting requests and the next request to the log. An
+ * organisation at the end of its budget may send many times its usual load. Without the
+ * pause the store gets twice as many calls, each with the same answer.
  */
 const DENIAL_PAUSE_MILLISECONDS = 250;
 
-/** Decides what is asked of the log for each organisation, and takes its verdicts. */
+/** Plans each organisation's grant requests and returns, and applies the verdicts. */
 export class GrantPlanner {
-  /** Whether this host's callers are led to other hosts. */
+  /** Whether this host's callers are redirected to other hosts. */
   isLeaving = false;
 
   constructor(
@@ -36,7 +36,7 @@
     private readonly pooledPart: number,
   ) {}
 
-  /** Asks for what an organisation's callers need, or gives back what they don't. */
+  /** Requests the tokens that an organisation's callers need, or returns surplus ones. */
   plan(budget: OrganisationBudget): void {
     if (budget.isRequesting) {
       return;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Returns tokens that no request has reserved, as many as there are. */
+  /** Returns unreserved tokens, at most as many as are available. */
   returnTokens(budget: OrganisationBudget, tokens: number): void {
     const amount = budget.account.debit(tokens);
     if (amount === 0) {
@@ -76,7 +76,7 @@
     });
   }
 
-  /** Takes the log's verdict on what was asked. */
+  /** Applies the log's verdict on the last grant request. */
   applyVerdict(budget: OrganisationBudget, verdict: GrantVerdict): void {
     budget.isRequesting = false;
     const now = this.clock.monotonicMilliseconds();
@@ -117,9 +117,10 @@
   }
 
   /**
-   * Asks for all that wait at once where the log has it. Load: all holders have as much
-   * in hand as they may, and many requests come to one that has little. Harm of asking
-   * for the first alone: each exchange with the store serves one request.
+   * Requests tokens for all waiting requests at once if the log has them. This matters
+   * when all holders together hold the maximum allowed and many requests come to one
+   * that has few tokens. If only the first request's tokens were requested, each exchange
+   * with the store would serve one request.
    */
   private requestForWaiting(
     budget: OrganisationBudget,
@@ -161,7 +162,7 @@
     });
   }
 
-  /** Others are asked only where they seem to hold what the log can't give. */
+  /** Borrows only if other holders appear to have the tokens that the log lacks. */
   private handleDenial(
     budget: OrganisationBudget,
     view: BudgetView | undefined,
--- a/packages/gateway/src/organisation-budget.ts
+++ b/packages/gateway/src/organisation-budget.ts
@@ -14,52 +14,55 @@
   type TokenWaiter,
 } from './token-waiters.js';
 
-/** A reservation, or why there is none. The latter means that it has not run. */
+/** A reservation, or the reason for refusing it; the request has not run then. */
 export type ReserveResult =
   {readonly reservation: Reservation} | {readonly refusal: BudgetRefusal};
 
-/** What of a new request decides on its tokens. */
+/** A new request's need for tokens. */
 export interface TokenRequest {
-  /** The most that it can use. */
+  /** Maximum number of tokens that the request can use. */
   readonly bound: number;
-  /** Whether a request of which nothing is delivered costs nothing. */
+  /** Whether the request costs nothing if nothing is delivered. */
   readonly mayPromise: boolean;
-  /** Time left to the request; no bound by default. */
+  /** Time left until the request's deadline; unlimited by default. */
   readonly remainingMilliseconds?: number;
 }
 
 /** How long a request waits for tokens. */
 export interface WaitLimit {
   readonly milliseconds: number;
-  /** Ends the wait sooner: the caller has left. */
+  /** Ends the wait early, when the caller has disconnected. */
   readonly signal?: AbortSignal;
-  /** Says at the end why there are none. */
+  /** Returns the reason for the refusal when the wait ends without tokens. */
   refusal(): BudgetRefusal;
 }
 
 /**
- * Use beyond this part of a budget is told to the others. Harm without it: near a
- * budget's end, callers are told to come back for tokens that have been spent.
+ * Unreported spending beyond this part of a budget is reported on the log. Without this,
+ * callers near the end of a budget are told to retry for tokens that have been spent.
  */
 const REPORT_THRESHOLD_PART = 0.01;
 
-/** One organisation's budget as this process holds it. */
+/** One organisation's budget in this process. */
 export class OrganisationBudget {
   readonly account = new GrantAccount();
-  /** The fold has not been told of this configuration's budget. */
+  /** Whether no record has reported the current configuration's budget to the fold. */
   hasUnreportedBudget = true;
-  /** A grant was asked for whose verdict is not known. */
+  /** Whether a grant request is waiting for its verdict. */
   isRequesting = false;
-  /** The least that was last asked for requests that wait; else undefined. */
+  /**
+   * Minimum tokens of the last grant request if it was made for waiting requests;
+   * undefined if it was a refill.
+   */
   requestedForWaiting: number | undefined;
-  /** When the log may be asked for more in hand. */
+  /** Limits how often refills are requested from the log. */
   readonly refillPacing = new RefillPacing();
   isBorrowing = false;
-  /** Loans whose answers are late at this host's own link and still awaited. */
+  /** Number of loans whose answers this host's own link delays and that may arrive. */
   lateLoanCount = 0;
-  /** The log has denied a grant: it is not asked again before; monotonic clock. */
+  /** Earliest monotonic time of the next grant request after a denial, milliseconds. */
   retryAt = 0;
-  /** What the fold was last told that this process has spent. */
+  /** Spent tokens that this process had at its last report to the fold. */
   reportedSpent = 0;
   readonly waiters = new TokenWaiters();
 
@@ -70,31 +73,32 @@
     private readonly clock: Clock,
   ) {}
 
-  /** The most that the first request that waits can use; 0 where none does. */
+  /** Bound of the first waiting request, in tokens; 0 if none waits. */
   get firstBound(): number {
     return this.waiters.first?.bound ?? 0;
   }
 
-  /** The shortfall of the first request that waits. */
+  /** Shortfall of the first waiting request, in tokens. */
   get firstShortfall(): number {
     return this.shortfallFor(this.firstBound);
   }
 
-  /** Tokens by which a bound exceeds those available and not promised. */
+  /** Tokens by which a bound exceeds those that are available and not promised. */
   shortfallFor(bound: number): number {
     return bound - Math.min(bound, Math.max(0, this.account.unpromised));
   }
 
-  /** Lets a request begin whose tokens are taken when its answer is there. */
+  /** Promises tokens to a request; they are reserved when its answer is ready. */
   promise(bound: number): Reservation {
     this.account.promise(bound, this.now());
     return this.reservation(bound, ChargePoint.Delivery);
   }
 
   /**
-   * Takes a new request's tokens where nobody waits before it.
+   * Reserves a new request's tokens if no request waits before it.
    *
-   * @param minimumLeft Tokens that must be left in hand.
+   * @param minimumLeft Tokens that must stay available.
+   * @returns Undefined if a request waits before it or too few tokens are available.
    */
   tryReserve(bound: number, minimumLeft: number): Reservation | undefined {
     const {account, waiters} = this;
@@ -108,7 +112,7 @@
     return this.reservation(bound, ChargePoint.Dispatch);
   }
 
-  /** Takes a new request's tokens when they come. */
+  /** Reserves a new request's tokens as soon as they are available. */
   async reserveWhenAvailable(
     bound: number,
     limit: WaitLimit,
@@ -120,7 +124,7 @@
       : {refusal};
   }
 
-  /** Takes promised tokens where no answer waits before this one. */
+  /** Reserves promised tokens if no answer waits before this one. */
   tryReservePromised(bound: number): boolean {
     return (
       !this.waiters.hasWaiterBefore(TokenUse.Delivery) &&
@@ -129,9 +133,9 @@
   }
 
   /**
-   * Takes promised tokens when they come.
+   * Reserves promised tokens as soon as they are available.
    *
-   * @returns Undefined once they are taken; else the promise stands.
+   * @returns Undefined once they are reserved; else the refusal, and the promise remains.
    */
   reservePromisedWhenAvailable(
     bound: number,
@@ -141,13 +145,13 @@
     return this.waitForTokens(waiting, limit);
   }
 
-  /** Adds tokens and serves those that wait, in order. */
+  /** Adds tokens and serves waiting requests in order. */
   credit(tokens: number): void {
     this.account.credit(tokens);
     this.serveWaiting();
   }
 
-  /** Ends a request; what is left of its bound serves those that wait. */
+  /** Ends a request; the unused part of its bound serves waiting requests. */
   settle({bound, chargePoint}: Reservation, used: number): void {
     if (chargePoint === ChargePoint.Delivery) {
       this.account.dropPromise(bound);
@@ -157,20 +161,20 @@
     this.serveWaiting();
   }
 
-  /** The others' view of this budget is too old to refuse by. */
+  /** Whether unreported spending makes other holders' view too old to refuse by. */
   get isReportDue(): boolean {
     const untold = this.account.spent - this.reportedSpent;
     return untold > REPORT_THRESHOLD_PART * this.prepaid;
   }
 
-  /** Whether what is known to be spent leaves too little, whoever holds the rest. */
+  /** Whether the tokens not known to be spent, by any holder, are fewer than a bound. */
   isExhausted(view: BudgetView | undefined, bound: number): boolean {
     const prepaid = Math.max(view?.prepaid ?? 0, this.prepaid);
     const untold = this.account.spent - this.reportedSpent;
     return prepaid - (view?.spent ?? 0) - untold < bound;
   }
 
-  /** Whether the log has enough for a request, and is asked now or next. */
+  /** Whether the log has enough for a request and is being asked or can be asked now. */
   expectsGrant(view: BudgetView | undefined, bound: number): boolean {
     return (
       (this.isRequesting || this.mayRequestForWaiting(this.now())) &&
@@ -178,14 +182,14 @@
     );
   }
 
-  /** Whether requests wait and the log may be asked for them now. */
+  /** Whether requests wait and a grant may be requested for them now. */
   mayRequestForWaiting(now: number): boolean {
     return this.waiters.count > 0 && !this.isRequesting && now >= this.retryAt;
   }
 
   /**
-   * Whether the log's denial of what was last asked denies the first that waits. What
-   * was asked before it came, for more in hand, says nothing of it.
+   * Whether the log's last denial applies to the first waiting request. The denial of a
+   * refill that was requested before this request arrived does not apply to it.
    */
   isFirstWaitingDenied(view: BudgetView | undefined): boolean {
     const {
@@ -206,16 +210,16 @@
       return Promise.resolve(limit.refusal());
     }
     return new Promise(resolve => {
-      const giveUp = () => {
+      const stopWaiting = () => {
         this.waiters.remove(waiter, limit.refusal());
       };
-      const timeout = new NetworkTimeout(limit.milliseconds, giveUp);
-      limit.signal?.addEventListener('abort', giveUp);
+      const timeout = new NetworkTimeout(limit.milliseconds, stopWaiting);
+      limit.signal?.addEventListener('abort', stopWaiting);
       const waiter: TokenWaiter = {
         ...waiting,
         done: refusal => {
           timeout.close();
-          limit.signal?.removeEventListener('abort', giveUp);
+          limit.signal?.removeEventListener('abort', stopWaiting);
           resolve(refusal);
         },
       };
--- a/packages/gateway/src/test/budget-replica_test.ts
+++ b/packages/gateway/src/test/budget-replica_test.ts
@@ -39,7 +39,7 @@
   },
 };
 
-/** Answers one record at a time; one of the reads fails. */
+/** Returns one record for each read and fails one of the reads. */
 class PagedLog extends MemoryPartitionedLog {
   private reads = 0;
 
@@ -60,8 +60,9 @@
   }
 }
 
-it('tells what was read before a read that failed', async () => {
-  // A host never asked for an organisation's tokens again, and its grant was lost.
+it('returns the outcomes that were read before a failed read', async () => {
+  // Guards against a verdict lost with a failed read: the host never requested the
+  // organisation's tokens again, and its grant was lost.
   const log = new PagedLog(3);
   await log.append(BUDGET_PARTITION, [
     encodeRecord(budgetRecord(HOST, 1, OPENED)),
--- a/packages/gateway/src/test/grant-planner_test.ts
+++ b/packages/gateway/src/test/grant-planner_test.ts
@@ -18,15 +18,15 @@
 const LIMIT = {milliseconds: 1_000, refusal: () => BudgetRefusal.HeldElsewhere};
 
 describe('GrantPlanner', () => {
-  let asked: BudgetChange[];
+  let changes: BudgetChange[];
   let planner: GrantPlanner;
   let budget: OrganisationBudget;
 
   beforeEach(() => {
-    asked = [];
+    changes = [];
     const journal = {
       add: (change: BudgetChange) => {
-        asked.push(change);
+        changes.push(change);
       },
     };
     const clock = new SystemClock();
@@ -43,11 +43,11 @@
     budget.credit(AVAILABLE);
   });
 
-  it('asks the log only for the shortfall of a waiting request', async () => {
-    // Asking for the whole bound is denied when no single share covers it.
+  it('requests only the shortfall of a waiting request from the log', async () => {
+    // Guards against a denial for the whole bound, which no single share may cover.
     const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
     planner.plan(budget);
-    expect(asked).toMatchObject([
+    expect(changes).toMatchObject([
       {case: 'requested', value: {least: BOUND - AVAILABLE}},
     ]);
     budget.credit(BOUND - AVAILABLE);
@@ -55,11 +55,11 @@
   });
 
   it('does not count promised tokens as available to a waiting request', async () => {
-    // Guards against serving a new request with the tokens of one that has begun.
+    // Guards against serving a new request with tokens promised to a running one.
     budget.promise(AVAILABLE);
     const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
     planner.plan(budget);
-    expect(asked).toMatchObject([{case: 'requested', value: {least: BOUND}}]);
+    expect(changes).toMatchObject([{case: 'requested', value: {least: BOUND}}]);
     budget.credit(BOUND);
     expect(await reserved).toMatchObject({reservation: {bound: BOUND}});
     expect(budget.account.available).toBe(AVAILABLE);
--- a/packages/gateway/src/test/token-waiters_test.ts
+++ b/packages/gateway/src/test/token-waiters_test.ts
@@ -16,30 +16,30 @@
 }
 
 describe('TokenWaiters', () => {
-  it('serves ready answers first, and the others in their order', () => {
-    // The caller whose answer is ready gets it next: its work is done.
-    const line = new TokenWaiters();
+  it('serves ready answers first and other requests in order of arrival', () => {
+    // Guards against added latency for answers whose work is already done.
+    const waiters = new TokenWaiters();
     const ended: string[] = [];
-    line.add(waiter(TokenUse.Dispatch, 'first', ended));
-    line.add(waiter(TokenUse.Dispatch, 'second', ended));
-    line.add(waiter(TokenUse.Delivery, 'ready', ended));
-    while (line.first !== undefined) {
-      line.remove(line.first);
+    waiters.add(waiter(TokenUse.Dispatch, 'first', ended));
+    waiters.add(waiter(TokenUse.Dispatch, 'second', ended));
+    waiters.add(waiter(TokenUse.Delivery, 'ready', ended));
+    while (waiters.first !== undefined) {
+      waiters.remove(waiters.first);
     }
     expect(ended).toEqual(['ready: served', 'first: served', 'second: served']);
   });
 
-  it('keeps a ready answer in line while its tokens may still come', () => {
-    // The caller's request has run: it can't be told that it has not. What was sent
-    // nowhere is refused at once.
-    const line = new TokenWaiters();
+  it('keeps a ready answer queued while its tokens may still come', () => {
+    // Guards against a refusal of a request that has run, whose caller must not be told
+    // that it has not. Requests that were not dispatched are refused immediately.
+    const waiters = new TokenWaiters();
     const ended: string[] = [];
-    line.add(waiter(TokenUse.Delivery, 'ready', ended));
-    line.add(waiter(TokenUse.Dispatch, 'new', ended));
-    line.refuseFirst(BudgetRefusal.HeldElsewhere);
-    line.refuseUndispatched(BudgetRefusal.StoreUnavailable);
+    waiters.add(waiter(TokenUse.Delivery, 'ready', ended));
+    waiters.add(waiter(TokenUse.Dispatch, 'new', ended));
+    waiters.refuseFirst(BudgetRefusal.HeldElsewhere);
+    waiters.refuseUndispatched(BudgetRefusal.StoreUnavailable);
     expect(ended).toEqual([`new: ${BudgetRefusal.StoreUnavailable}`]);
-    line.refuseFirst(BudgetRefusal.Exhausted);
-    expect(line.count).toBe(0);
+    waiters.refuseFirst(BudgetRefusal.Exhausted);
+    expect(waiters.count).toBe(0);
   });
 });
--- a/packages/gateway/src/token-reservations.ts
+++ b/packages/gateway/src/token-reservations.ts
@@ -15,54 +15,54 @@
 import {BudgetRefusal} from './token-waiters.js';
 
 /**
- * A request waits so long for a grant. An append and a read take about 10 ms; the
- * shortest goal among the users' requests is some 150 ms.
+ * How long a request waits for a grant. An append and a read take about 10 ms; the
+ * shortest latency goal of the users' requests is about 150 ms.
  */
 const GRANT_WAIT_MILLISECONDS = 400;
-/** A request is refused by then, while its caller has time to try another host. */
+/** Maximum wait for a grant, which leaves the caller time to try another host. */
 const MAXIMUM_GRANT_WAIT_MILLISECONDS = 1_500;
-/** The exchange with the store that is under way, and the one that brings the grant. */
+/** A grant takes the exchange with the store in progress and one that requests it. */
 const EXCHANGES_PER_GRANT = 2;
-/** A lender waits so long for the store; its borrower waits 120 ms for it. */
+/** How long a lender waits for the store; its borrower waits 120 ms for the lender. */
 const LENDER_FETCH_MILLISECONDS = 70;
 
-/** How long an answer that is ready waits for its tokens. */
+/** Limits of the time that a ready answer waits for its tokens. */
 export interface DeliveryLimit {
   readonly milliseconds: number;
   readonly signal: AbortSignal;
 }
 
-/** What became of a promise when its answer was ready. */
+/** Result of reserving promised tokens for a ready answer. */
 export interface TakenReservation {
   readonly reservation: Reservation;
-  /** Undefined where the answer may be passed on. */
+  /** Undefined if the answer may be sent to the caller. */
   readonly refusal: BudgetRefusal | undefined;
 }
 
 /**
- * Takes requests' tokens from this process's grants, without a message where they
+ * Reserves requests' tokens from this process's grants, without a message if the grants
  * cover them.
  */
 export class TokenReservations {
   private isClosing = false;
 
-  /** @param wake Begins the next exchange with the store at once. */
+  /** @param wake Starts the next exchange with the store immediately. */
   constructor(
     private readonly registry: BudgetRegistry,
     private readonly borrower: GrantBorrower,
     private readonly wake: () => void,
   ) {}
 
-  /** Lets no more requests begin that need tokens: they are handed back. */
+  /** Refuses new requests that need tokens, because the grants are being returned. */
   close(): void {
     this.isClosing = true;
   }
 
   /**
-   * Lets a request begin: puts the most that it can use aside, or promises it.
+   * Reserves or promises the maximum tokens that a new request can use.
    *
-   * @returns At once where the grants or the log cover it; else after the store's
-   *     verdict or a loan.
+   * @returns The reservation or a refusal. It resolves immediately if the grants or the
+   *     log cover the request; else after the store's verdict, a loan or the timeout.
    */
   async reserve(
     organisation: string,
@@ -99,10 +99,10 @@
   }
 
   /**
-   * Takes what was promised, before the first part of an answer is passed on: all
-   * that was delivered stands on the log as granted to this process.
+   * Reserves promised tokens before the first part of an answer is sent to the caller.
+   * All delivered tokens are thereby covered by grants to this process on the log.
    *
-   * @returns The reservation that is left, and why its tokens are not taken.
+   * @returns The resulting reservation, and the reason if its tokens are not reserved.
    */
   async take(
     reservation: Reservation,
@@ -116,19 +116,26 @@
     ) {
       return {reservation, refusal: undefined};
     }
-    const taken = {...reservation, chargePoint: ChargePoint.Dispatch};
+    const reserved = {...reservation, chargePoint: ChargePoint.Dispatch};
     if (budget.tryReservePromised(bound)) {
-      return {reservation: taken, refusal: undefined};
+      return {reservation: reserved, refusal: undefined};
     }
     const result = budget.reservePromisedWhenAvailable(bound, {
       ...limit,
       refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
     const refusal = await this.awaitTokens(budget, result);
-    return {reservation: refusal === undefined ? taken : reservation, refusal};
+    return {
+      reservation: refusal === undefined ? reserved : reservation,
+      refusal,
+    };
   }
 
-  /** Ends a reservation with what the request used. */
+  /**
+   * Ends a reservation.
+   *
+   * @param used Tokens that the request used.
+   */
   settle(reservation: Reservation, used: number): void {
     const budget = this.registry.get(reservation.organisation);
     if (budget !== undefined && reservation.bound > 0) {
@@ -136,7 +143,7 @@
     }
   }
 
-  /** Brings tokens from the store for a loan, without asking for one in turn. */
+  /** Requests tokens from the store for a loan, without borrowing from other holders. */
   async fetchForLoan(budget: OrganisationBudget, least: number): Promise<void> {
     const fetched = budget.reserveWhenAvailable(least, {
       milliseconds: LENDER_FETCH_MILLISECONDS,
@@ -149,7 +156,10 @@
     }
   }
 
-  /** Longer while this host's link delays the store's answers, within its time. */
+  /**
+   * Milliseconds that a request waits for a grant. The wait is longer while this host's
+   * link delays the store's answers, within limits and half of the request's time left.
+   */
   private grantWaitMilliseconds({
     remainingMilliseconds = Infinity,
   }: TokenRequest): number {
@@ -165,7 +175,7 @@
     );
   }
 
-  /** Wakes the exchange with the store, and asks other holders where it is late. */
+  /** Starts an exchange with the store, and borrows from other holders if it is late. */
   private async awaitTokens<Result>(
     budget: OrganisationBudget,
     result: Promise<Result>,
@@ -192,7 +202,7 @@
   }
 }
 
-/** Of an organisation without a budget, or a request without tokens. */
+/** Reservation for an organisation without a budget or a request without tokens. */
 function emptyReservation(organisation: string): Reservation {
   return {organisation, bound: 0, chargePoint: ChargePoint.Dispatch};
 }
--- a/packages/gateway/src/token-waiters.ts
+++ b/packages/gateway/src/token-waiters.ts
@@ -1,20 +1,20 @@
-/** Why a request got no tokens. */
+/** Reason why a request got no tokens. */
 export enum BudgetRefusal {
-  /** What is known to be spent leaves less than the request may use. */
+  /** Known spending leaves fewer tokens than the request may use. */
   Exhausted = 'budget-exhausted',
-  /** The rest may be held elsewhere, or by requests that have not ended. */
+  /** The tokens may be held by other processes or by requests that have not ended. */
   HeldElsewhere = 'budget-held-elsewhere',
-  /** The store, which alone gives grants, does not answer. */
+  /** The store, which is the only source of grants, does not answer. */
   StoreUnavailable = 'budget-store-away',
-  /** This process stops and has handed its grants back. */
+  /** This process is stopping and returns its grants. */
   Stopping = 'budget-stopping',
 }
 
-/** What a request waits for. */
+/** What a waiting request needs its tokens for. */
 export enum TokenUse {
-  /** An answer is ready, and is passed on once its tokens are there. */
+  /** The answer is ready and is sent to the caller once its tokens are reserved. */
   Delivery = 'delivery',
-  /** It was sent to no endpoint yet. */
+  /** The request has not been sent to any endpoint yet. */
   Dispatch = 'dispatch',
 }
 
@@ -22,49 +22,49 @@
 export interface TokenWaiter {
   readonly bound: number;
   readonly use: TokenUse;
-  /** Called once, when it leaves the line; undefined where it got its tokens. */
+  /** Called once when it leaves the queue, without a refusal if it got its tokens. */
   readonly done: (refusal: BudgetRefusal | undefined) => void;
 }
 
 /**
- * Requests that wait for one organisation's tokens, those first whose answers are
- * ready: their work is done, and each further moment makes them late.
+ * Queue of requests that wait for one organisation's tokens. Requests whose answers are
+ * ready come first: their work is done, and waiting only adds latency.
  */
 export class TokenWaiters {
   private readonly queue: TokenWaiter[] = [];
 
-  /** Requests in line. */
+  /** Number of queued requests. */
   get count(): number {
     return this.queue.length;
   }
 
-  /** The most that they can use, together. */
+  /** Sum of the queued requests' bounds, in tokens. */
   get tokens(): number {
     return this.queue.reduce((sum, {bound}) => sum + bound, 0);
   }
 
-  /** The next to be served. */
+  /** The next request to serve; undefined if none waits. */
   get first(): TokenWaiter | undefined {
     return this.queue[0];
   }
 
-  /** Whether one is in line that goes before a new one of this use. */
+  /** Whether a queued request comes before a new one of this use. */
   hasWaiterBefore(use: TokenUse): boolean {
     return this.queue.some(waiter => priorityOf(waiter.use) <= priorityOf(use));
   }
 
-  /** Puts one behind those that go before it. */
+  /** Queues a request behind those of the same or a higher priority. */
   add(waiter: TokenWaiter): void {
-    const behind = this.queue.findIndex(
+    const index = this.queue.findIndex(
       ({use}) => priorityOf(use) > priorityOf(waiter.use),
     );
-    this.queue.splice(behind === -1 ? this.queue.length : behind, 0, waiter);
+    this.queue.splice(index === -1 ? this.queue.length : index, 0, waiter);
   }
 
   /**
-   * Takes one out of the line and tells it; nothing happens where it has left.
+   * Removes a request from the queue and notifies it; does nothing if it is not queued.
    *
-   * @param refusal Undefined where it got its tokens.
+   * @param refusal Undefined if the request got its tokens.
    */
   remove(waiter: TokenWaiter, refusal?: BudgetRefusal): void {
     const index = this.queue.indexOf(waiter);
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Refuses those that were sent nowhere yet. */
+  /** Refuses the requests that have not been dispatched yet. */
   refuseUndispatched(refusal: BudgetRefusal): void {
     for (const waiter of [...this.queue]) {
       if (waiter.use === TokenUse.Dispatch) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Refuses the first, unless an answer is ready that may still get its tokens. */
+  /** Refuses the first request, unless its answer is ready and may still get tokens. */
   refuseFirst(refusal: BudgetRefusal): void {
     const {first} = this;
     const isFinal = refusal === BudgetRefusal.Exhausted;
