--- a/packages/gateway/src/budget-holder.ts
+++ b/packages/gateway/src/budget-holder.ts
@@ -6,36 +6,36 @@
 import type {Clock} from '@wisteriadeal/platform';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import {BudgetBook} from './budget-book.js';
 import type {BudgetJournal} from './budget-journal.js';
+import {BudgetRegistry} from './budget-registry.js';
 import type {BudgetReplica} from './budget-replica.js';
 import type {FleetConfiguration} from './configuration.js';
 import {GrantBorrower} from './grant-borrower.js';
 import {GrantLender} from './grant-lender.js';
 import {GrantPlanner} from './grant-planner.js';
-import type {GivenAmount, LoanHolder, LoanPeers} from './loan-peers.js';
+import type {GrantAmount, LoanHolder, LoanPeers} from './loan-peers.js';
 import {OrganisationBudget} from './organisation-budget.js';
 import type {StoreHealth} from './store-health.js';
 import {TokenReservations} from './token-reservations.js';
 
-/** The log is read at least this often: others' grants decide what is left. */
-const POLL_MILLISECONDS = 700;
-/** Between turns while records are to be written. */
-const TURN_MILLISECONDS = 5;
-/** Between turns while requests wait for tokens that others may give back. */
-const WAITING_MILLISECONDS = 25;
-/** Between turns while the store fails. */
-const RETRY_MILLISECONDS = 200;
+/** Maximum interval between reads: other processes' grants reduce what is left. */
+const POLL_INTERVAL_MILLISECONDS = 700;
+/** Interval between exchanges while records are waiting to be written. */
+const PENDING_RECORDS_INTERVAL_MILLISECONDS = 5;
+/** Interval between exchanges while requests wait for tokens of other holders. */
+const WAITING_REQUESTS_INTERVAL_MILLISECONDS = 25;
+/** Interval between exchanges while the store fails. */
+const RETRY_INTERVAL_MILLISECONDS = 200;
 
 /**
- * Holds this process's grants: reservations are taken from them without a message.
- * One task keeps them filled through the log; while the store is away, holders that
- * see each other lend.
+ * Manages this process's grants, from which requests reserve tokens without a message.
+ * One task refills the grants through the log. While the store is unavailable, holders
+ * that can reach each other lend tokens.
  */
 export class BudgetHolder {
-  /** What requests use and get. */
+  /** Reservations of tokens for requests. */
   readonly reservations: TokenReservations;
-  private readonly book: BudgetBook;
+  private readonly registry: BudgetRegistry;
   private readonly grantLender: GrantLender;
   private readonly borrower: GrantBorrower;
   private readonly planner: GrantPlanner;
@@ -63,12 +63,16 @@
       clock,
       events,
     );
-    this.book = new BudgetBook(replica, health, clock);
-    this.reservations = new TokenReservations(this.book, this.borrower, () => {
-      this.wake.abort();
-    });
+    this.registry = new BudgetRegistry(replica, health, clock);
+    this.reservations = new TokenReservations(
+      this.registry,
+      this.borrower,
+      () => {
+        this.wake.abort();
+      },
+    );
     this.grantLender = new GrantLender(
-      this.book,
+      this.registry,
       journal,
       this.reservations,
       events,
@@ -84,27 +88,27 @@
     );
   }
 
-  /** True once this process may hold grants. */
+  /** True once the fold has opened this process, so that it may hold grants. */
   get isReady(): boolean {
     return this.hasOpened;
   }
 
-  /** Processes that share the budgets, this one included. */
+  /** Number of processes that share the budgets, including this one. */
   get holders(): number {
     return Math.max(1, this.replica.fold.holders.size);
   }
 
-  /** What other holders call. */
+  /** The service that other holders call. */
   get lender(): LoanHolder {
     return this.grantLender;
   }
 
-  /** What is known of an organisation's budget here, for dumps. */
+  /** This process's state of an organisation's budget, for state dumps. */
   describe(organisation: string): Readonly<Record<string, number>> | undefined {
-    return this.book.describe(organisation);
+    return this.registry.describe(organisation);
   }
 
-  /** Takes the budgets of a configuration that has come into force. */
+  /** Applies the budgets of a configuration that has come into force. */
   configure(configuration: FleetConfiguration): void {
     for (const {name, prepaid} of configuration.organisations) {
       if (prepaid !== undefined) {
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Whether this host's callers are led to other hosts, which then need what is in hand
-   * here where the log has little.
+   * Sets whether this host's callers are redirected to other hosts. Those hosts then need
+   * the tokens available here if the log has few.
    */
   setLeaving(isLeaving: boolean): void {
     if (isLeaving !== this.planner.isLeaving) {
@@ -125,38 +129,38 @@
     }
   }
 
-  /** Keeps the grants filled until it is closed. */
+  /** Refills the grants until the holder is closed. */
   run(): Promise<void> {
-    this.running = this.takeTurns();
+    this.running = this.runExchanges();
     return this.running;
   }
 
   /**
-   * Returns what nobody has reserved; ends when the store has it, or fails. While the
-   * store is away another holder gets it: the whole would be lost, and hosts are
-   * stopped in turn also during an outage.
+   * Returns all unreserved tokens to the store and resolves when it has accepted them or
+   * failed. While the store is unavailable, the tokens go to another holder. They would
+   * be lost otherwise, because hosts are also stopped one by one during an outage.
    */
   async close(): Promise<void> {
     this.beginClosing();
     await this.running;
     if (this.health.isAway) {
-      await this.borrower.handOver(this.takeRest());
+      await this.borrower.handOver(this.debitAvailable());
     } else {
-      for (const budget of this.book.all) {
-        this.planner.giveBack(budget, budget.account.available);
+      for (const budget of this.registry.all) {
+        this.planner.returnTokens(budget, budget.account.available);
       }
     }
-    await this.turn();
+    await this.exchange();
     this.peers.close();
   }
 
-  /** Ends at once; what is held stays charged. */
+  /** Stops immediately; tokens held stay charged. */
   abort(): void {
     this.beginClosing();
     this.peers.close();
   }
 
-  /** Takes, lends and asks for nothing more. */
+  /** Stops reservations, loans and exchanges. */
   private beginClosing(): void {
     this.isClosing = true;
     this.reservations.close();
@@ -165,30 +169,32 @@
     this.wake.abort();
   }
 
-  private async takeTurns(): Promise<void> {
+  private async runExchanges(): Promise<void> {
     while (!this.stop.signal.aborted) {
-      this.rearm();
-      const pause = await this.turn();
+      this.resetWake();
+      const pause = await this.exchange();
       await this.clock.sleep(pause, this.wake.signal);
     }
   }
 
   private setPrepaid(name: string, prepaid: number, version: number): void {
-    const budget = this.book.get(name);
+    const budget = this.registry.get(name);
     if (budget === undefined) {
-      this.book.add(new OrganisationBudget(name, prepaid, version, this.clock));
+      this.registry.add(
+        new OrganisationBudget(name, prepaid, version, this.clock),
+      );
       return;
     }
     if (prepaid < budget.prepaid) {
-      // Grants given under the larger budget could be spent beyond the new one.
-      this.planner.giveBack(budget, budget.account.available);
+      // Tokens granted from the larger budget could be spent beyond the lowered one.
+      this.planner.returnTokens(budget, budget.account.available);
     }
     if (prepaid !== budget.prepaid) {
-      budget.isUntold = true;
+      budget.hasUnreportedBudget = true;
       this.events.info('budget changed', {
         organisation: name,
         prepaid,
-        before: budget.prepaid,
+        previousPrepaid: budget.prepaid,
         version,
       });
     }
@@ -196,9 +202,9 @@
     budget.configurationVersion = version;
   }
 
-  /** Takes all that no request has reserved off the accounts. */
-  private takeRest(): readonly GivenAmount[] {
-    return this.book.all
+  /** Debits all unreserved tokens from the accounts. */
+  private debitAvailable(): readonly GrantAmount[] {
+    return this.registry.all
       .map(({name, account}) => ({
         organisation: name,
         amount: account.debit(account.available),
@@ -206,29 +212,35 @@
       .filter(({amount}) => amount > 0);
   }
 
-  /** One exchange with the store; returns the pause before the next. */
-  private async turn(): Promise<number> {
+  /**
+   * Performs one exchange with the store.
+   *
+   * @returns The pause before the next exchange, milliseconds.
+   */
+  private async exchange(): Promise<number> {
     try {
-      this.plan();
+      this.planGrants();
       this.health.called(this.clock.monotonicMilliseconds());
       const outcomes = await this.journal.exchange();
       this.health.answered(this.clock.monotonicMilliseconds());
       outcomes.forEach(outcome => {
-        this.takeOutcome(outcome);
+        this.applyOutcome(outcome);
       });
-      this.noteOpening();
+      this.recordOpening();
       await this.replica.checkpointIfDue(this.journal.incarnation);
     } catch (error) {
       this.health.failed(this.clock.monotonicMilliseconds(), error);
-      return RETRY_MILLISECONDS;
+      return RETRY_INTERVAL_MILLISECONDS;
     }
-    if (this.journal.hasPending || this.mayAskForWaiting()) {
-      return TURN_MILLISECONDS;
+    if (this.journal.hasPending || this.mayRequestForWaiting()) {
+      return PENDING_RECORDS_INTERVAL_MILLISECONDS;
     }
-    return this.hasWaiting() ? WAITING_MILLISECONDS : POLL_MILLISECONDS;
+    return this.hasWaitingRequests()
+      ? WAITING_REQUESTS_INTERVAL_MILLISECONDS
+      : POLL_INTERVAL_MILLISECONDS;
   }
 
-  private noteOpening(): void {
+  private recordOpening(): void {
     if (this.hasOpened || !this.journal.isOpen) {
       return;
     }
@@ -240,40 +252,40 @@
     });
   }
 
-  private plan(): void {
+  private planGrants(): void {
     if (this.isClosing || !this.hasOpened) {
       return;
     }
     if (!this.journal.isOpen && !this.journal.hasPending) {
       this.journal.reopen();
-      for (const budget of this.book.all) {
-        budget.isAsking = false;
-        budget.isUntold = true;
+      for (const budget of this.registry.all) {
+        budget.isRequesting = false;
+        budget.hasUnreportedBudget = true;
       }
     }
-    for (const budget of this.book.all) {
+    for (const budget of this.registry.all) {
       this.planner.plan(budget);
     }
   }
 
-  private takeOutcome(outcome: FoldOutcome): void {
+  private applyOutcome(outcome: FoldOutcome): void {
     if (outcome.kind === 'opening') {
-      this.logClosed(outcome.closed);
+      this.logClosedGrants(outcome.closed);
       return;
     }
-    const budget = this.book.get(outcome.organisation);
+    const budget = this.registry.get(outcome.organisation);
     if (budget === undefined) {
       return;
     }
     if (outcome.kind === 'loan') {
-      this.borrower.recorded(budget, outcome);
+      this.borrower.loanRecorded(budget, outcome);
     } else {
-      this.planner.take(budget, outcome);
+      this.planner.applyVerdict(budget, outcome);
     }
   }
 
-  /** What the process before this one on the host had, and took with it. */
-  private logClosed(closed: readonly ClosedGrant[]): void {
+  /** Logs the grants of this host's previous process, which were charged in full. */
+  private logClosedGrants(closed: readonly ClosedGrant[]): void {
     for (const {organisation, charged, lastHeld} of closed) {
       this.events.info('grant of an ended process closed', {
         organisation,
@@ -284,16 +296,16 @@
     }
   }
 
-  private mayAskForWaiting(): boolean {
+  private mayRequestForWaiting(): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return this.book.all.some(budget => budget.mayAskForWaiting(now));
+    return this.registry.all.some(budget => budget.mayRequestForWaiting(now));
   }
 
-  private hasWaiting(): boolean {
-    return this.book.all.some(({waiters}) => waiters.count > 0);
+  private hasWaitingRequests(): boolean {
+    return this.registry.all.some(({waiters}) => waiters.count > 0);
   }
 
-  private rearm(): void {
+  private resetWake(): void {
     if (this.wake.signal.aborted) {
       this.wake = new AbortController();
     }
--- a/packages/gateway/src/budget-replica.ts
+++ b/packages/gateway/src/budget-replica.ts
@@ -1,7 +1,7 @@
 import {
   BudgetFold,
-  checkpointOf,
-  foldFrom,
+  createCheckpoint,
+  foldFromCheckpoint,
   type FoldOutcome,
 } from '@wisteriadeal/budgets';
 import {
@@ -24,25 +24,25 @@
 } from './budget-topics.js';
 
 /**
- * A checkpoint is written after so many records, by the holder whose turn it is.
- * Without one, a process that has just started folds all records since the last, and
- * its callers wait for its first grant meanwhile.
+ * Number of records after which the holder whose turn it is writes a checkpoint. A
+ * process that has just started folds all records since the last checkpoint, and its
+ * callers wait for its first grant meanwhile.
  */
 const CHECKPOINT_RECORDS = 1_000;
 
-/** This process's copy of the fold, and how it keeps up with the log. */
+/** This process's copy of the fold, which it updates from the log. */
 export class BudgetReplica {
-  private folded = new BudgetFold();
+  private currentFold = new BudgetFold();
   private isLoaded = false;
-  private checkpointAt = 0;
-  private checkpointTime: number;
-  private turn = 0;
-  /** What folded records say to processes, until a read to the end has returned it. */
-  private untold: FoldOutcome[] = [];
+  private checkpointOffset = 0;
+  private checkpointWrittenAt: number;
+  private checkpointTurn = 0;
+  /** Outcomes of folded records that no read to the end of the log has returned yet. */
+  private unreportedOutcomes: FoldOutcome[] = [];
 
   /**
-   * @param checkpointMilliseconds A checkpoint is written when the newest is
-   *     older, long before the platform drops what leads to it.
+   * @param checkpointMilliseconds Maximum age of the newest checkpoint. It is much less
+   *     than the time after which the platform drops records.
    */
   constructor(
     private readonly log: PartitionedLog,
@@ -50,117 +50,127 @@
     private readonly checkpointMilliseconds: number,
     private readonly events: EventLog,
   ) {
-    this.checkpointTime = clock.monotonicMilliseconds();
+    this.checkpointWrittenAt = clock.monotonicMilliseconds();
   }
 
-  /** The fold as far as this process has read. */
+  /** The fold up to the last record that this process has read. */
   get fold(): BudgetFold {
-    return this.folded;
+    return this.currentFold;
   }
 
   /**
-   * Reads to the end of the log as it is now. What was read before a call that fails
-   * is returned by the next.
+   * Reads to the current end of the log. Outcomes read before a failed call are returned
+   * by the next one.
    *
-   * @returns What the records say to processes, in their order.
-   * @throws StepError where the store gave no usable answer.
+   * @returns Outcomes of the records, in log order.
+   * @throws StepError if the store gave no usable answer.
    */
   async catchUp(): Promise<readonly FoldOutcome[]> {
     if (!this.isLoaded) {
-      await this.load();
+      await this.loadCheckpoint();
     }
     try {
-      return await this.readOn();
+      return await this.readToEnd();
     } catch (error) {
       if (!(error instanceof RecordsDroppedError)) {
         throw error;
       }
-      await this.load();
-      return this.readOn();
+      await this.loadCheckpoint();
+      return this.readToEnd();
     }
   }
 
-  /** Folds records that this process knows to stand at the next offsets. */
-  takeOwn(records: readonly BudgetRecord[]): readonly FoldOutcome[] {
-    this.foldAll(records);
-    return this.takeUntold();
+  /** Applies this process's own records, which the log has placed at the next offsets. */
+  applyOwn(records: readonly BudgetRecord[]): readonly FoldOutcome[] {
+    this.applyAll(records);
+    return this.takeUnreportedOutcomes();
   }
 
   /**
-   * Writes a checkpoint where the newest one known is getting old, or it is this
-   * holder's turn.
+   * Writes a checkpoint if the newest known one is too old or it is this holder's turn.
    */
   async checkpointIfDue(incarnation: string): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
-    const isOld = now - this.checkpointTime >= this.checkpointMilliseconds;
-    const isTurn = this.isNewTurnOf(incarnation);
-    if ((!isOld && !isTurn) || this.folded.nextOffset === this.checkpointAt) {
+    const isOld = now - this.checkpointWrittenAt >= this.checkpointMilliseconds;
+    const isTurn = this.advanceCheckpointTurn(incarnation);
+    if (
+      (!isOld && !isTurn) ||
+      this.currentFold.nextOffset === this.checkpointOffset
+    ) {
       return;
     }
-    const offset = this.folded.nextOffset;
+    const offset = this.currentFold.nextOffset;
     await this.log.put(
       CHECKPOINT_PARTITION,
       CHECKPOINT_KEY,
-      encodeCheckpoint(checkpointOf(this.folded)),
+      encodeCheckpoint(createCheckpoint(this.currentFold)),
     );
-    this.checkpointAt = offset;
-    this.checkpointTime = now;
+    this.checkpointOffset = offset;
+    this.checkpointWrittenAt = now;
     this.events.info('budget checkpoint written', {offset});
   }
 
-  /** Holders take turns by the log's offset; a dead one's turn is passed over. */
-  private isNewTurnOf(incarnation: string): boolean {
-    const turn = Math.floor(this.folded.nextOffset / CHECKPOINT_RECORDS);
-    if (turn === this.turn) {
+  /**
+   * Advances to the turn of the current offset. Holders take turns by offset; the turn of
+   * a holder that has failed is skipped.
+   *
+   * @returns Whether a new turn has begun that belongs to this incarnation.
+   */
+  private advanceCheckpointTurn(incarnation: string): boolean {
+    const turn = Math.floor(this.currentFold.nextOffset / CHECKPOINT_RECORDS);
+    if (turn === this.checkpointTurn) {
       return false;
     }
-    this.turn = turn;
-    const holders = [...this.folded.holders.keys()];
+    this.checkpointTurn = turn;
+    const holders = [...this.currentFold.holders.keys()];
     return holders[turn % holders.length] === incarnation;
   }
 
-  private async load(): Promise<void> {
+  private async loadCheckpoint(): Promise<void> {
     const newest = await this.log.newest(CHECKPOINT_PARTITION);
     const bytes = newest.items.find(({key}) => key === CHECKPOINT_KEY)?.value;
     const checkpoint =
       bytes === undefined ? undefined : decodeCheckpoint(bytes);
     if (
       checkpoint !== undefined &&
-      checkpoint.offset > this.folded.nextOffset
+      checkpoint.offset > this.currentFold.nextOffset
     ) {
-      this.folded = foldFrom(checkpoint);
-      this.checkpointAt = checkpoint.offset;
+      this.currentFold = foldFromCheckpoint(checkpoint);
+      this.checkpointOffset = checkpoint.offset;
       this.events.info('budget checkpoint read', {offset: checkpoint.offset});
     }
     this.isLoaded = true;
   }
 
-  private async readOn(): Promise<readonly FoldOutcome[]> {
+  private async readToEnd(): Promise<readonly FoldOutcome[]> {
     for (;;) {
       const range = await this.log.read(
         BUDGET_PARTITION,
-        this.folded.nextOffset,
+        this.currentFold.nextOffset,
         0,
       );
-      this.foldAll(range.records.map(decodeRecord));
-      if (this.folded.nextOffset >= range.end || range.records.length === 0) {
-        return this.takeUntold();
+      this.applyAll(range.records.map(decodeRecord));
+      if (
+        this.currentFold.nextOffset >= range.end ||
+        range.records.length === 0
+      ) {
+        return this.takeUnreportedOutcomes();
       }
     }
   }
 
-  private foldAll(records: readonly (BudgetRecord | undefined)[]): void {
+  private applyAll(records: readonly (BudgetRecord | undefined)[]): void {
     for (const record of records) {
-      const outcome = this.folded.apply(record);
+      const outcome = this.currentFold.apply(record);
       if (outcome !== undefined) {
-        this.untold.push(outcome);
+        this.unreportedOutcomes.push(outcome);
       }
     }
   }
 
-  private takeUntold(): readonly FoldOutcome[] {
-    const outcomes = this.untold;
-    this.untold = [];
+  private takeUnreportedOutcomes(): readonly FoldOutcome[] {
+    const outcomes = this.unreportedOutcomes;
+    this.unreportedOutcomes = [];
     return outcomes;
   }
 }
--- a/packages/gateway/src/grant-borrower.ts
+++ b/packages/gateway/src/grant-borrower.ts
@@ -8,36 +8,38 @@
 
 import type {BudgetJournal} from './budget-journal.js';
 import type {BudgetReplica} from './budget-replica.js';
-import type {GivenAmount, LoanPeers} from './loan-peers.js';
+import type {GrantAmount, LoanPeers} from './loan-peers.js';
 import type {OrganisationBudget} from './organisation-budget.js';
 import type {StoreHealth} from './store-health.js';
 import {BudgetRefusal} from './token-waiters.js';
 
 /**
- * Lenders that are asked for one loan. Load: many hosts hold a small budget in
- * pieces that are smaller than a request. Harm with few lenders: the pieces are not
- * gathered, and the request is refused.
+ * Maximum number of lenders asked for one request. Many hosts may each hold fewer tokens
+ * of a small budget than one request needs. With fewer lenders these tokens would not be
+ * collected and the request would be refused.
  */
-const MOST_LENDERS = 12;
-/** Lenders asked at once; a silent one costs the request that waits 120 ms. */
-const LENDERS_AT_ONCE = 3;
-/** A loan is asked for so many times what waits, so that the next finds some. */
-const LOAN_FACTOR = 3;
+const MAXIMUM_LENDERS = 12;
+/** Lenders asked concurrently. One that does not answer delays the request by 120 ms. */
+const CONCURRENT_LENDERS = 3;
+/** Multiple of the waiting requests' tokens that is borrowed, to serve the next ones. */
+const LOAN_SIZE_FACTOR = 3;
 /**
- * Calls to the store that fail for this host's own link alone fail no longer: the store
- * may be away as well, and requests would wait in vain.
+ * Maximum time for which failed calls to the store are attributed to this host's own
+ * link. After that the store may be unavailable as well, and requests would wait for
+ * grants that do not come.
  */
 const LINK_FAILURE_MILLISECONDS = 2_000;
-/** Why a lender is not asked until its late answer has come. */
-const LATE = 'no answer in time, as this host’s link is late';
-/** A lender that did not answer is not asked for this long, or until it answers. */
+/** Reason for pausing a lender until its late answer has come. */
+const LATE_ANSWER_REASON =
+  'no answer in time because this host’s link is delayed';
+/** A lender that did not answer is not asked again for this time, or until it answers. */
 const LENDER_PAUSE_MILLISECONDS = 2_000;
 
-/** Brings tokens from other holders where the store gives none in time. */
+/** Borrows tokens from other holders when the store grants none in time. */
 export class GrantBorrower {
-  private readonly silentLenders = new Map<string, number>();
-  private readonly unanswered = new UnansweredLoans();
-  private asked = 0;
+  private readonly pausedLenders = new Map<string, number>();
+  private readonly unansweredLoans = new UnansweredLoans();
+  private nextLoanNumber = 0;
 
   constructor(
     private readonly journal: BudgetJournal,
@@ -49,10 +51,11 @@
   ) {}
 
   /**
-   * Asks the holders that have most, a few at once. What still waits then is
-   * refused: all while the store is away, else the first. Where the log has enough and
-   * has not answered, its answer is waited for: a slow store takes 0.3 s and more. So
-   * are loans that this host's own link holds up.
+   * Borrows from the holders with the most tokens, a few at a time. Requests that still
+   * wait then are refused: all undispatched ones while the store is unavailable, else
+   * the first. None is refused while the log has enough tokens and is expected to grant
+   * them, since a slow store takes 0.3 s and more, or while a loan is delayed by this
+   * host's own link.
    */
   async borrow(budget: OrganisationBudget): Promise<void> {
     if (budget.isBorrowing) {
@@ -60,86 +63,86 @@
     }
     budget.isBorrowing = true;
     try {
-      await this.borrowFromSome(budget);
+      await this.borrowFromLenders(budget);
     } finally {
       budget.isBorrowing = false;
     }
-    this.refuseUnserved(budget);
+    this.refuseUnservable(budget);
   }
 
-  /** The log tells of a loan to this process. */
-  recorded(budget: OrganisationBudget, {loan, amount}: RecordedLoan): void {
-    const found = this.unanswered.recorded(loan, amount);
-    if (found > 0) {
-      this.credit(budget, loan, found);
+  /** Handles the log's record of a loan to this process. */
+  loanRecorded(budget: OrganisationBudget, {loan, amount}: RecordedLoan): void {
+    const recovered = this.unansweredLoans.recordFolded(loan, amount);
+    if (recovered > 0) {
+      this.creditRecoveredLoan(budget, loan, recovered);
     }
   }
 
   /**
-   * Gives tokens to one of the holders, before this process ends. One that gives no
-   * answer may have taken them, so that no other is asked then.
+   * Hands tokens over to another holder before this process ends. If a holder does not
+   * answer, it may have accepted them, so no other holder is tried.
    */
-  async handOver(given: readonly GivenAmount[]): Promise<void> {
+  async handOver(given: readonly GrantAmount[]): Promise<void> {
     if (given.length === 0) {
       return;
     }
-    const gift = {giver: this.journal.incarnation, given};
-    for (const address of this.otherHolders()) {
+    const handover = {giver: this.journal.incarnation, given};
+    for (const address of this.responsiveHolders()) {
       try {
         if (
-          (await this.answers(address)) &&
-          (await this.peers.give(address, gift))
+          (await this.probe(address)) &&
+          (await this.peers.handOver(address, handover))
         ) {
           this.events.info('grants handed over', {
-            taker: address,
+            recipient: address,
             organisations: given.length,
           });
           return;
         }
       } catch (error) {
-        this.events.warn('grants lost at the end', {
-          taker: address,
+        this.events.warn('grants lost at shutdown', {
+          recipient: address,
           organisations: given.length,
           reason: String(error),
         });
         return;
       }
     }
-    this.events.warn('grants lost at the end', {
+    this.events.warn('grants lost at shutdown', {
       organisations: given.length,
-      reason: 'no holder takes them',
+      reason: 'no other holder accepted the tokens',
     });
   }
 
-  /** Refuses what neither a loan nor the log is about to serve. */
-  private refuseUnserved(budget: OrganisationBudget): void {
-    if (budget.isBorrowing || budget.lateLoans > 0) {
+  /** Refuses waiting requests that neither a loan nor the log is expected to serve. */
+  private refuseUnservable(budget: OrganisationBudget): void {
+    if (budget.isBorrowing || budget.lateLoanCount > 0) {
       return;
     }
-    if (this.awaitsLog(budget)) {
+    if (this.expectsGrant(budget)) {
       return;
     }
     if (this.health.isAway) {
-      budget.waiters.refuseUndispatched(BudgetRefusal.StoreAway);
+      budget.waiters.refuseUndispatched(BudgetRefusal.StoreUnavailable);
     } else {
       budget.waiters.refuseFirst(BudgetRefusal.HeldElsewhere);
     }
   }
 
-  /** Whether the log has enough for the first that waits, and is to give it. */
-  private awaitsLog(budget: OrganisationBudget): boolean {
+  /** Whether the log is expected to grant enough for the first waiting request. */
+  private expectsGrant(budget: OrganisationBudget): boolean {
     const view = this.replica.fold.view(budget.name);
-    return this.answersCome() && budget.awaitsLog(view, budget.firstBound);
+    return this.isLogUsable() && budget.expectsGrant(view, budget.firstBound);
   }
 
-  /** Whether the store answers, or has failed to for this host's own link alone. */
-  private answersCome(): boolean {
-    const awayFor = this.health.awayFor(this.clock.monotonicMilliseconds());
-    return !this.health.isOutage && awayFor < LINK_FAILURE_MILLISECONDS;
+  /** Whether the store answers, or its calls failed only for this host's own link. */
+  private isLogUsable(): boolean {
+    const failedFor = this.health.awayFor(this.clock.monotonicMilliseconds());
+    return !this.health.isOutage && failedFor < LINK_FAILURE_MILLISECONDS;
   }
 
-  /** Whether a holder speaks; a loan of nothing is asked for, and none is given. */
-  private async answers(address: string): Promise<boolean> {
+  /** Checks that a holder answers, by a loan request for no tokens. */
+  private async probe(address: string): Promise<boolean> {
     try {
       await this.peers.borrow(address, {
         organisation: '',
@@ -151,49 +154,49 @@
       });
       return true;
     } catch (error) {
-      this.noteSilent(address, '', error);
+      this.pauseLender(address, '', error);
       return false;
     }
   }
 
-  /** Other holders, without those that were silent lately. */
-  private otherHolders(): readonly string[] {
+  /** Addresses of other holders, without those that recently failed to answer. */
+  private responsiveHolders(): readonly string[] {
     return [...this.replica.fold.holders.values()]
       .filter(({incarnation}) => incarnation !== this.journal.incarnation)
       .map(({address}) => address)
-      .filter(address => this.isSpeaking(address));
+      .filter(address => this.isResponsive(address));
   }
 
-  private isSpeaking(address: string): boolean {
+  private isResponsive(address: string): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return (this.silentLenders.get(address) ?? 0) <= now;
+    return (this.pausedLenders.get(address) ?? 0) <= now;
   }
 
-  private noteSilent(address: string, loan: string, error: unknown): void {
-    const until =
+  private pauseLender(address: string, loan: string, error: unknown): void {
+    const pausedUntil =
       this.clock.monotonicMilliseconds() + LENDER_PAUSE_MILLISECONDS;
-    this.silentLenders.set(address, until);
-    this.events.warn('lender silent', {
+    this.pausedLenders.set(address, pausedUntil);
+    this.events.warn('lender unresponsive', {
       lender: address,
       loan,
       reason: String(error),
     });
   }
 
-  private async borrowFromSome(budget: OrganisationBudget): Promise<void> {
+  private async borrowFromLenders(budget: OrganisationBudget): Promise<void> {
     const lenders = lendersOf(
       this.replica.fold,
       budget.name,
       this.journal.incarnation,
-    ).filter(({address}) => this.isSpeaking(address));
-    const most = Math.min(MOST_LENDERS, lenders.length);
-    for (let asked = 0; asked < most; asked += LENDERS_AT_ONCE) {
+    ).filter(({address}) => this.isResponsive(address));
+    const count = Math.min(MAXIMUM_LENDERS, lenders.length);
+    for (let first = 0; first < count; first += CONCURRENT_LENDERS) {
       if (budget.waiters.count === 0) {
         return;
       }
       const next = lenders.slice(
-        asked,
-        Math.min(most, asked + LENDERS_AT_ONCE),
+        first,
+        Math.min(count, first + CONCURRENT_LENDERS),
       );
       await Promise.all(
         next.map(({address}, index) =>
@@ -203,38 +206,41 @@
     }
   }
 
-  /** @param inHandOnly Another lender may ask the store for the same tokens. */
+  /**
+   * @param inHandOnly Whether the lender must not request tokens from the store, because
+   *     another lender may request them for the same loan.
+   */
   private async borrowFrom(
     budget: OrganisationBudget,
     address: string,
     inHandOnly: boolean,
   ): Promise<void> {
     const borrower = this.journal.incarnation;
-    const loan = `${borrower}.${this.asked++}`;
-    this.unanswered.asked(loan);
+    const loan = `${borrower}.${this.nextLoanNumber++}`;
+    this.unansweredLoans.requested(loan);
     const request = {
       organisation: budget.name,
       least: budget.firstShortfall,
-      wish: LOAN_FACTOR * budget.waiters.tokens,
+      wish: LOAN_SIZE_FACTOR * budget.waiters.tokens,
       borrower,
       loan,
-      inHandOnly: inHandOnly || this.awaitsLog(budget),
+      inHandOnly: inHandOnly || this.expectsGrant(budget),
     };
-    const awaitLate = (answer: Promise<number>) => {
-      void this.awaitLate(budget, address, loan, answer);
+    const onLateAnswer = (answer: Promise<number>) => {
+      void this.awaitLateAnswer(budget, address, loan, answer);
     };
     try {
-      const lent = await this.peers.borrow(address, request, awaitLate);
+      const lent = await this.peers.borrow(address, request, onLateAnswer);
       if (lent !== undefined) {
-        this.unanswered.answered(loan);
-        this.noteBorrowed(budget, address, loan, lent);
+        this.unansweredLoans.answered(loan);
+        this.creditLoan(budget, address, loan, lent);
       }
     } catch (error) {
-      this.lost(budget, address, loan, error);
+      this.answerLost(budget, address, loan, error);
     }
   }
 
-  private noteBorrowed(
+  private creditLoan(
     budget: OrganisationBudget,
     lender: string,
     loan: string,
@@ -245,46 +251,49 @@
     budget.credit(lent);
   }
 
-  /** The loan is lost for now, so that its record brings it where that comes first. */
-  private async awaitLate(
+  /**
+   * Credits a loan when its delayed answer arrives. Until then the answer counts as lost,
+   * so that the loan's record on the log credits it if it is folded first.
+   */
+  private async awaitLateAnswer(
     budget: OrganisationBudget,
     address: string,
     loan: string,
     answer: Promise<number>,
   ): Promise<void> {
-    budget.lateLoans++;
-    this.lost(budget, address, loan, LATE);
+    budget.lateLoanCount++;
+    this.answerLost(budget, address, loan, LATE_ANSWER_REASON);
     try {
-      const tokens = this.unanswered.answeredLate(loan, await answer);
-      this.silentLenders.delete(address);
-      this.noteBorrowed(budget, address, loan, tokens);
+      const tokens = this.unansweredLoans.answeredLate(loan, await answer);
+      this.pausedLenders.delete(address);
+      this.creditLoan(budget, address, loan, tokens);
     } catch (error) {
-      this.noteSilent(address, loan, error);
+      this.pauseLender(address, loan, error);
     } finally {
-      budget.lateLoans--;
-      this.refuseUnserved(budget);
+      budget.lateLoanCount--;
+      this.refuseUnservable(budget);
     }
   }
 
-  private lost(
+  private answerLost(
     budget: OrganisationBudget,
     address: string,
     loan: string,
     error: unknown,
   ): void {
-    this.noteSilent(address, loan, error);
-    const found = this.unanswered.lost(loan);
-    if (found > 0) {
-      this.credit(budget, loan, found);
+    this.pauseLender(address, loan, error);
+    const recovered = this.unansweredLoans.answerLost(loan);
+    if (recovered > 0) {
+      this.creditRecoveredLoan(budget, loan, recovered);
     }
   }
 
-  private credit(
+  private creditRecoveredLoan(
     budget: OrganisationBudget,
     loan: string,
     tokens: number,
   ): void {
-    this.events.info('lost loan found on the log', {
+    this.events.info('lost loan recovered from the log', {
       organisation: budget.name,
       loan,
       tokens,
--- a/packages/gateway/src/grant-lender.ts
+++ b/packages/gateway/src/grant-lender.ts
@@ -1,47 +1,48 @@
 import {loanFor} from '@wisteriadeal/budgets';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import type {BudgetBook} from './budget-book.js';
 import type {BudgetJournal} from './budget-journal.js';
-import type {Gift, LoanHolder, LoanRequest} from './loan-peers.js';
+import type {BudgetRegistry} from './budget-registry.js';
+import type {GrantHandover, LoanHolder, LoanRequest} from './loan-peers.js';
 import type {TokenReservations} from './token-reservations.js';
 
-/** The side of this process that other holders call. */
+/** The loan service of this process, which other holders call. */
 export class GrantLender implements LoanHolder {
   private isClosing = false;
 
   constructor(
-    private readonly book: BudgetBook,
+    private readonly registry: BudgetRegistry,
     private readonly journal: BudgetJournal,
     private readonly reservations: TokenReservations,
     private readonly events: EventLog,
   ) {}
 
-  /** Gives and takes nothing from now on. */
+  /** Stops lending and accepting tokens. */
   close(): void {
     this.isClosing = true;
   }
 
   /**
-   * Lends to another holder; what is lent is off this account for good. A lender
-   * that sees the store gets what it lacks from there: only some hosts are cut off.
-   * Not for a borrower that has asked the store itself: both would be granted the same
-   * need, and others would be refused for tokens that nobody uses.
+   * Lends tokens to another holder and deducts them permanently from this account. A
+   * lender that reaches the store requests the missing tokens there, since the store may
+   * be unreachable for only some hosts. It does not do so for a borrower that has
+   * requested them from the store itself: both would be granted tokens for one need, and
+   * other requests would be refused for lack of tokens that are not used.
    */
   async lend(request: LoanRequest): Promise<number> {
     const {organisation, least, wish, borrower, loan, inHandOnly} = request;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (budget === undefined || this.isClosing) {
       return 0;
     }
-    const view = this.book.view(organisation);
+    const view = this.registry.view(organisation);
     if (
       !inHandOnly &&
       budget.account.available < least &&
       (view?.unallocated ?? 0) >= least &&
-      !this.book.health.isAway
+      !this.registry.health.isAway
     ) {
-      await this.reservations.fetch(budget, least);
+      await this.reservations.fetchForLoan(budget, least);
     }
     const lent = budget.account.debit(loanFor(budget.account, least, wish));
     if (lent > 0) {
@@ -57,17 +58,23 @@
         },
       });
     }
-    this.events.info('grant lent', {organisation, borrower, lent, wish, loan});
+    this.events.info('grant lent', {
+      organisation,
+      borrower,
+      lent,
+      requested: wish,
+      loan,
+    });
     return lent;
   }
 
-  /** Takes what a process has left that stops while the store is away. */
-  takeOver({giver, given}: Gift): boolean {
+  /** Accepts the tokens of a process that stops while the store is unavailable. */
+  takeOver({giver, given}: GrantHandover): boolean {
     if (this.isClosing || !this.journal.isOpen) {
       return false;
     }
     for (const {organisation, amount} of given) {
-      this.book.get(organisation)?.credit(Math.max(0, amount));
+      this.registry.get(organisation)?.credit(Math.max(0, amount));
       this.events.info('grant taken over', {organisation, amount, giver});
     }
     return true;
--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -3,18 +3,21 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
 import type {BudgetHolder} from '../budget-holder.js';
-import type {TokenWish} from '../organisation-budget.js';
+import type {TokenRequest} from '../organisation-budget.js';
 import {BudgetRefusal} from '../token-waiters.js';
 import {BUDGET_PARTITION} from '../budget-topics.js';
-import {HolderFleet, SCHOOL, until} from './holder-fleet.js';
+import {HolderFleet, SCHOOL, waitUntil} from './holder-fleet.js';
 
 const PREPAID = 100_000;
 const REQUEST = 2_500;
 const LARGE_REQUEST = 30_000;
-/** Longer than a holder's pause between two reads of the log. */
+/** Longer than a holder's interval between two reads of the log. */
 const LONGER_THAN_POLL_MILLISECONDS = 900;
-/** From one read of the log by an idle holder to the next, milliseconds. */
-const EVERY_MOMENT_OF_POLLS = Array.from({length: 70}, (_, step) => 10 * step);
+/** Offsets between two reads of the log by an idle holder. */
+const POLL_OFFSETS_MILLISECONDS = Array.from(
+  {length: 70},
+  (_, step) => 10 * step,
+);
 const WAIT = {milliseconds: 3_000, signal: new AbortController().signal};
 
 let fleet: HolderFleet;
@@ -32,13 +35,13 @@
   return holder.describe(SCHOOL)?.available ?? 0;
 }
 
-/** What the log can still grant, as a holder knows. */
+/** Tokens that the log can still grant, in a holder's view. */
 function unallocated(holder: BudgetHolder): number {
   return holder.describe(SCHOOL)?.unallocated ?? 0;
 }
 
-/** Lets the test's own time pass until something is done. */
-async function inHeldTime<Result>(work: Promise<Result>): Promise<Result> {
+/** Advances the fake timers until a promise settles. */
+async function withFakeTimers<Result>(work: Promise<Result>): Promise<Result> {
   const ended = new AbortController();
   const end = () => {
     ended.abort();
@@ -50,46 +53,49 @@
   return work;
 }
 
-function wish(bound: number, mayPromise: boolean): TokenWish {
+function tokenRequest(bound: number, mayPromise: boolean): TokenRequest {
   return {bound, mayPromise};
 }
 
-/** Cuts hosts off from the log, and waits until each has seen it. */
-async function cutOff(hosts: readonly string[]): Promise<void> {
-  hosts.forEach(host => fleet.cutOff.add(host));
+/** Isolates hosts from the log and waits until each has logged the failure. */
+async function isolateHosts(hosts: readonly string[]): Promise<void> {
+  hosts.forEach(host => fleet.isolatedHosts.add(host));
   const isLost = (host: string) =>
     fleet.events.some(
       line => line.event === 'store lost' && line.host === host,
     );
-  await until(() => hosts.every(isLost));
+  await waitUntil(() => hosts.every(isLost));
 }
 
-/** Blocks the process, as a machine that is busy elsewhere does. */
-function holdUp(milliseconds: number): void {
+/** Blocks the event loop, like a machine that is busy with other processes. */
+function blockEventLoop(milliseconds: number): void {
   const never = new Int32Array(new SharedArrayBuffer(4));
   Atomics.wait(never, 0, 0, milliseconds);
 }
 
-/** Blocks the process after each first read of the log by a holder. */
-function holdUpAfterFirstReads(milliseconds: number): void {
+/** Blocks the event loop after each holder's first read of the log. */
+function blockAfterInitialReads(milliseconds: number): void {
   const {log} = fleet;
   const newest = log.newest.bind(log);
   log.newest = async partition => {
     const records = await newest(partition);
-    holdUp(milliseconds);
+    blockEventLoop(milliseconds);
     return records;
   };
 }
 
-/** What a call of the store ends with whose answer did not come in time. */
+/** The error of a call to the store that timed out. */
 function callTimeout(): StepError {
   const cause = new CallTimeoutError(false, 1_200);
   return new StepError('read', 'store', Fate.Unknown, cause.message, {cause});
 }
 
-/** One request that uses its whole bound; whether it was let in. */
-async function use(holder: BudgetHolder, tokens: number): Promise<boolean> {
-  const result = await holder.reservations.reserve(SCHOOL, wish(tokens, false));
+/** Runs a request that uses its whole bound; returns whether it was accepted. */
+async function spend(holder: BudgetHolder, tokens: number): Promise<boolean> {
+  const result = await holder.reservations.reserve(
+    SCHOOL,
+    tokenRequest(tokens, false),
+  );
   if ('refusal' in result) {
     return false;
   }
@@ -97,13 +103,16 @@
   return true;
 }
 
-/** One request that uses a part of its bound within a second. */
-async function usePart(
+/** Runs a request that uses a part of its bound and takes one second. */
+async function spendPart(
   holder: BudgetHolder,
   bound: number,
   used: number,
 ): Promise<void> {
-  const result = await holder.reservations.reserve(SCHOOL, wish(bound, false));
+  const result = await holder.reservations.reserve(
+    SCHOOL,
+    tokenRequest(bound, false),
+  );
   await new Promise(resolve => setTimeout(resolve, 1_000));
   if ('reservation' in result) {
     holder.reservations.settle(result.reservation, used);
@@ -111,15 +120,15 @@
 }
 
 describe('BudgetHolder', () => {
-  it('hands what it has left to another holder when it stops in an outage', async () => {
-    // The caller sees its requests served. Hosts are stopped in turn while the store
-    // is away; what a stopped host can't return there would be lost with it, a
-    // twentieth of each budget each time.
+  it('hands its tokens over to another holder when it stops in an outage', async () => {
+    // Guards against losing a twentieth of each budget with every host that stops while
+    // the store is unavailable. Hosts are stopped one by one and cannot return their
+    // tokens to the store, so later requests would be refused.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
-    await until(() => available(stopping) > 0 && available(staying) > 0);
+    await waitUntil(() => available(stopping) > 0 && available(staying) > 0);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
@@ -130,15 +139,15 @@
     expect(available(staying)).toBe(before);
   });
 
-  it('never spends what a stopped holder gave and its successor charges', async () => {
-    // The caller sees a refusal once the budget is used up, and not a token later.
-    // A successor opens on the stopped host: all that its predecessor held counts as
-    // spent, also what another holder has taken over and spends.
+  it('never exceeds the budget after a handover that the successor charges', async () => {
+    // Guards against spending beyond the budget. When a successor opens on the stopped
+    // host, all tokens of its predecessor count as spent, including those that another
+    // holder has accepted and spends.
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
-    await until(() => available(stopping) > 0);
+    await waitUntil(() => available(stopping) > 0);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
@@ -149,7 +158,7 @@
     const successor = await fleet.start('one');
     let spent = 0;
     for (const holder of [staying, successor, staying, successor]) {
-      while (await use(holder, REQUEST)) {
+      while (await spend(holder, REQUEST)) {
         spent += REQUEST;
       }
     }
@@ -157,256 +166,264 @@
     expect(spent).toBeGreaterThan(0.9 * PREPAID);
   });
 
-  it('waits for a slow store that has enough, and says so when it is silent', async () => {
-    // The caller is served, half a second later than usual. The store takes 0.3 s to
-    // answer, as it does on slow days; the other hosts have nothing to lend. A store
-    // that says nothing at all is named as the reason, and not others' hands.
+  it('waits for a slow store with enough tokens and reports one without answers', async () => {
+    // Guards against refusals while a slow store takes 0.3 s to answer and the other
+    // hosts have nothing to lend; the request is served half a second late. If the store
+    // does not answer at all, the reason must be the store and not other holders.
     const holder = await fleet.start('one');
     await fleet.start('two');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     fleet.log.faults.answerAfterMilliseconds = 150;
-    expect(await use(holder, 40_000)).toBe(true);
+    expect(await spend(holder, 40_000)).toBe(true);
     fleet.log.faults.answerAfterMilliseconds = 1_000;
     expect(
-      await holder.reservations.reserve(SCHOOL, wish(30_000, false)),
+      await holder.reservations.reserve(SCHOOL, tokenRequest(30_000, false)),
     ).toEqual({
-      refusal: BudgetRefusal.StoreAway,
+      refusal: BudgetRefusal.StoreUnavailable,
     });
   });
 
-  it.each(EVERY_MOMENT_OF_POLLS)(
-    'waits for a slow store that has enough, at each moment of others’ polls (%i ms)',
-    async laterMilliseconds => {
-      // Guards against a lender that fetches what the borrower has asked the store for.
+  it.each(POLL_OFFSETS_MILLISECONDS)(
+    'waits for a slow store at any offset from other holders’ reads (%i ms)',
+    async offsetMilliseconds => {
+      // Guards against a lender that requests from the store the tokens that the borrower
+      // has requested there.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(fleet.start('two'));
-      await inHeldTime(until(() => available(holder) > 0));
-      await vi.advanceTimersByTimeAsync(laterMilliseconds);
+      const holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(fleet.start('two'));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
+      await vi.advanceTimersByTimeAsync(offsetMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
-      expect(await inHeldTime(use(holder, 40_000))).toBe(true);
+      expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
       fleet.log.faults.answerAfterMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(late)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(late)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
     },
   );
 
   it.each([0, 180, 360, 540, 690])(
-    'waits for a slow store that has enough, and says so when it is silent (%i ms later)',
-    async laterMilliseconds => {
-      // The caller is served, half a second later than usual. The store takes 0.3 s to
-      // answer, as it does on slow days; the other hosts have nothing to lend. A store
-      // that says nothing at all is named as the reason, and not others' hands.
+    'waits for a slow store and reports one without answers (offset %i ms)',
+    async offsetMilliseconds => {
+      // Guards against refusals while a slow store takes 0.3 s to answer and the other
+      // hosts have nothing to lend; the request is served half a second late. If the
+      // store does not answer at all, the reason must be the store and not other holders.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      const other = await inHeldTime(fleet.start('two'));
+      const holder = await withFakeTimers(fleet.start('one'));
+      const other = await withFakeTimers(fleet.start('two'));
       const haveUsualGrants = () =>
         [holder, other].every(
           one => available(one) > 0 && available(one) < LARGE_REQUEST / 2,
         );
-      await inHeldTime(until(haveUsualGrants));
-      await vi.advanceTimersByTimeAsync(laterMilliseconds);
+      await withFakeTimers(waitUntil(haveUsualGrants));
+      await vi.advanceTimersByTimeAsync(offsetMilliseconds);
       fleet.log.faults.answerAfterMilliseconds = 150;
-      expect(await inHeldTime(use(holder, 40_000))).toBe(true);
-      // A lender that sees the store fetches tokens, too late here, and returns them.
-      await inHeldTime(
-        until(() => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST),
+      expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
+      // A lender that reaches the store requests tokens there. They come too late for the
+      // borrower, and the lender returns them.
+      await withFakeTimers(
+        waitUntil(
+          () => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST,
+        ),
       );
       fleet.log.faults.answerAfterMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(late)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(late)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
     },
   );
 
   it.each([70, 140, 190])(
-    'waits for the log while an exchange under way is late (after %i ms)',
-    async lateMilliseconds => {
-      // Guards against refusals before the log was asked for tokens that it has.
+    'waits for the log while the exchange in progress is late (after %i ms)',
+    async elapsedMilliseconds => {
+      // Guards against refusals before tokens were requested from a log that has them.
       vi.useFakeTimers();
-      const holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(fleet.start('two'));
-      await inHeldTime(until(() => holder.holders === 2));
-      await inHeldTime(until(() => available(holder) > 0));
+      const holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(fleet.start('two'));
+      await withFakeTimers(waitUntil(() => holder.holders === 2));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
       await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
       const reading = vi.spyOn(fleet.log, 'read');
       fleet.log.faults.answerAfterMilliseconds = 200;
-      await inHeldTime(until(() => reading.mock.calls.length === 2));
-      await vi.advanceTimersByTimeAsync(lateMilliseconds);
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+      await withFakeTimers(waitUntil(() => reading.mock.calls.length === 2));
+      await vi.advanceTimersByTimeAsync(elapsedMilliseconds);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     },
   );
 
-  describe('whose host’s full link delays the store’s answers', () => {
+  describe('while the host’s congested link delays the store’s answers', () => {
     const DELAY_MILLISECONDS = 900;
     let holder: BudgetHolder;
 
     beforeEach(async () => {
       vi.useFakeTimers();
-      holder = await inHeldTime(fleet.start('one'));
-      await inHeldTime(until(() => available(holder) > 0));
+      holder = await withFakeTimers(fleet.start('one'));
+      await withFakeTimers(waitUntil(() => available(holder) > 0));
       fleet.link.delayMilliseconds = DELAY_MILLISECONDS;
       fleet.log.faults.answerAfterMilliseconds = DELAY_MILLISECONDS;
     });
 
-    it('waits for a grant as long as it takes to come', async () => {
-      // Guards against refusals for tokens that nobody has been granted.
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+    it('waits for a grant during the link delay', async () => {
+      // Guards against refusals while the tokens are still unallocated.
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
     it('waits for a grant although a call has timed out', async () => {
-      // Guards against an outage that is made of a late answer.
+      // Guards against a late answer that is treated as an outage.
       vi.spyOn(fleet.log, 'read').mockRejectedValueOnce(callTimeout());
-      await inHeldTime(
-        until(() => fleet.events.some(({event}) => event === 'store lost')),
+      await withFakeTimers(
+        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
       );
       expect(fleet.events).toContainEqual(
         expect.objectContaining({event: 'store lost', isLinkDelay: true}),
       );
-      expect(await inHeldTime(use(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
 
-    it('refuses at once after calls have timed out for seconds', async () => {
-      // Guards against callers that wait for a store that is away behind a full link.
+    it('refuses immediately after calls have timed out for seconds', async () => {
+      // Guards against waiting for an unavailable store behind a congested link.
       vi.spyOn(fleet.log, 'read').mockImplementation(() =>
         Promise.reject(callTimeout()),
       );
-      await inHeldTime(
-        until(() => fleet.events.some(({event}) => event === 'store lost')),
+      await withFakeTimers(
+        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
       );
       await vi.advanceTimersByTimeAsync(3_000);
       const startedAt = performance.now();
       const refused = holder.reservations.reserve(
         SCHOOL,
-        wish(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST, false),
       );
-      expect(await inHeldTime(refused)).toEqual({
-        refusal: BudgetRefusal.StoreAway,
+      expect(await withFakeTimers(refused)).toEqual({
+        refusal: BudgetRefusal.StoreUnavailable,
       });
       expect(performance.now() - startedAt).toBeLessThan(100);
     });
 
-    it('waits no longer than the request has time', async () => {
-      // Guards against callers that are told too late to come back.
+    it('waits no longer than the request’s remaining time', async () => {
+      // Guards against callers that get `Retry-After` too late.
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...wish(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST, false),
         remainingMilliseconds: 600,
       });
-      expect(await inHeldTime(late)).toHaveProperty('refusal');
+      expect(await withFakeTimers(late)).toHaveProperty('refusal');
       expect(performance.now() - startedAt).toBeLessThanOrEqual(601);
     });
 
-    it('refuses while the caller has time for another host', async () => {
-      // Guards against requests that are held for tokens until their time is over.
+    it('refuses while the caller has time to try another host', async () => {
+      // Guards against requests that wait for tokens until their deadline.
       fleet.link.delayMilliseconds = 5_000;
       fleet.log.faults.answerAfterMilliseconds = 5_000;
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...wish(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST, false),
         remainingMilliseconds: 10_000,
       });
-      expect(await inHeldTime(late)).toHaveProperty('refusal');
+      expect(await withFakeTimers(late)).toHaveProperty('refusal');
       expect(performance.now() - startedAt).toBeLessThanOrEqual(1_501);
     });
 
-    it('lets requests begin on what the log has while its answers are awaited', async () => {
-      // Guards against a late answer that is taken for a store that is away.
+    it('promises unallocated tokens while answers of the log are delayed', async () => {
+      // Guards against a late answer that is treated as an unavailable store.
       await vi.advanceTimersByTimeAsync(2 * DELAY_MILLISECONDS);
       for (let step = 0; step < 20; step++) {
         await vi.advanceTimersByTimeAsync(100);
-        const begun = holder.reservations.reserve(SCHOOL, wish(REQUEST, true));
-        expect(await inHeldTime(begun)).toMatchObject({
+        const begun = holder.reservations.reserve(
+          SCHOOL,
+          tokenRequest(REQUEST, true),
+        );
+        expect(await withFakeTimers(begun)).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
         });
       }
     });
   });
 
-  it('has one lender at a time ask the store for what a cut-off host needs', async () => {
-    // Guards against refusals elsewhere for tokens that were fetched several times.
+  it('lets one lender at a time request tokens for an isolated host', async () => {
+    // Guards against refusals elsewhere because several lenders were granted the tokens
+    // for one request.
     vi.useFakeTimers();
-    const borrower = await inHeldTime(fleet.start('one'));
+    const borrower = await withFakeTimers(fleet.start('one'));
     const others: BudgetHolder[] = [];
     for (const host of ['two', 'three', 'four']) {
-      others.push(await inHeldTime(fleet.start(host)));
+      others.push(await withFakeTimers(fleet.start(host)));
     }
     const all = [borrower, ...others];
-    await inHeldTime(until(() => all.every(one => available(one) > 0)));
+    await withFakeTimers(waitUntil(() => all.every(one => available(one) > 0)));
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    await inHeldTime(cutOff(['one']));
-    expect(await inHeldTime(use(borrower, LARGE_REQUEST))).toBe(true);
+    await withFakeTimers(isolateHosts(['one']));
+    expect(await withFakeTimers(spend(borrower, LARGE_REQUEST))).toBe(true);
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     const held = all.reduce((sum, one) => sum + available(one), 0);
     expect(held).toBeLessThan(LARGE_REQUEST);
   });
 
-  it('finds a lender that sees the store behind those that are cut off too', async () => {
-    // Guards against refusals in a data centre that only others can help.
+  it('finds a lender that reaches the store after several isolated ones', async () => {
+    // Guards against refusals in a partitioned data centre while other hosts can lend.
     vi.useFakeTimers();
     const names = ['one', 'two', 'three', 'four', 'five', 'six'];
     const all: BudgetHolder[] = [];
     for (const host of names) {
-      all.push(await inHeldTime(fleet.start(host)));
+      all.push(await withFakeTimers(fleet.start(host)));
     }
-    await inHeldTime(until(() => all.every(one => available(one) > 0)));
+    await withFakeTimers(waitUntil(() => all.every(one => available(one) > 0)));
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    await inHeldTime(cutOff(names.slice(0, 4)));
+    await withFakeTimers(isolateHosts(names.slice(0, 4)));
     for (const holder of all.slice(0, 4)) {
-      expect(await inHeldTime(use(holder, 10_000))).toBe(true);
+      expect(await withFakeTimers(spend(holder, 10_000))).toBe(true);
     }
   });
 
-  it('serves all that wait at once while other holders have all that is kept in hand', async () => {
-    // Guards against a grant for one request in each exchange with a store that is late.
+  it('serves all waiting requests with one grant while others hold the maximum', async () => {
+    // Guards against a grant for only one request in each exchange with a late store.
     vi.useFakeTimers();
-    const holder = await inHeldTime(fleet.start('one'));
-    const busy = await inHeldTime(fleet.start('two'));
+    const holder = await withFakeTimers(fleet.start('one'));
+    const busy = await withFakeTimers(fleet.start('two'));
     for (let request = 0; request < 12; request++) {
-      expect(await inHeldTime(use(busy, 2_000))).toBe(true);
+      expect(await withFakeTimers(spend(busy, 2_000))).toBe(true);
       await vi.advanceTimersByTimeAsync(100);
     }
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     fleet.link.delayMilliseconds = 300;
     fleet.log.faults.answerAfterMilliseconds = 300;
-    const waiting = Array.from({length: 20}, () => use(holder, 2_000));
+    const waiting = Array.from({length: 20}, () => spend(holder, 2_000));
     expect(unallocated(holder)).toBeGreaterThan(20 * 2_000);
-    const served = await inHeldTime(Promise.all(waiting));
+    const served = await withFakeTimers(Promise.all(waiting));
     expect(served.filter(isServed => isServed)).toHaveLength(20);
   });
 
-  it('leaves the end of a budget to the hosts that its callers are led to', async () => {
+  it('returns the last tokens of a budget when its callers are redirected', async () => {
     // Guards against refusals while a host without callers keeps the last tokens.
     vi.useFakeTimers();
-    const leaving = await inHeldTime(fleet.start('one'));
-    const holder = await inHeldTime(fleet.start('two'));
+    const leaving = await withFakeTimers(fleet.start('one'));
+    const holder = await withFakeTimers(fleet.start('two'));
     const running: Promise<void>[] = [];
     while (unallocated(leaving) > 2_000) {
-      running.push(usePart(leaving, 4_000, 2_000));
+      running.push(spendPart(leaving, 4_000, 2_000));
       await vi.advanceTimersByTimeAsync(100);
     }
-    await inHeldTime(Promise.all(running));
+    await withFakeTimers(Promise.all(running));
     vi.spyOn(leaving.lender, 'lend').mockRejectedValue(new Error('silent'));
     leaving.setLeaving(true);
     expect(available(leaving)).toBeGreaterThan(10_000);
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
-    expect(await inHeldTime(use(holder, 10_000))).toBe(true);
+    expect(await withFakeTimers(spend(holder, 10_000))).toBe(true);
   });
 
-  it('keeps what it holds while its callers are led away and the log has plenty', async () => {
-    // Guards against records that help nobody.
+  it('keeps its tokens while callers are redirected and the log has enough', async () => {
+    // Guards against useless records on the log.
     vi.useFakeTimers();
-    const holder = await inHeldTime(fleet.start('one'));
-    await inHeldTime(until(() => available(holder) > 0));
+    const holder = await withFakeTimers(fleet.start('one'));
+    await withFakeTimers(waitUntil(() => available(holder) > 0));
     await vi.advanceTimersByTimeAsync(2 * LONGER_THAN_POLL_MILLISECONDS);
     const before = available(holder);
     const appending = vi.spyOn(fleet.log, 'append');
@@ -416,26 +433,26 @@
     expect(appending).not.toHaveBeenCalled();
   });
 
-  it('serves a request that comes while the log denies more in hand', async () => {
-    // Callers were refused, or waited for loans, though the log had their tokens.
+  it('serves a request that arrives while the log denies a refill', async () => {
+    // Guards against refusals and waits for loans although the log has the tokens.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0.05 * PREPAID);
+    await waitUntil(() => available(holder) > 0.05 * PREPAID);
     fleet.log.faults.answerAfterMilliseconds = 40;
     fleet.changeBudget(PREPAID + 1);
     await new Promise(resolve => setTimeout(resolve, 10));
-    expect(await use(holder, available(holder) + 20_000)).toBe(true);
+    expect(await spend(holder, available(holder) + 20_000)).toBe(true);
   });
 
-  it('leaves a successor few records to read', async () => {
-    // The callers of a host that was killed are served a quarter of a second sooner.
-    // Its successor reads the log from the newest checkpoint; holders write one in
-    // turn, each after a thousand records, and not all of them at once.
+  it('writes checkpoints so that a successor reads few records', async () => {
+    // Guards against a slow start of a killed host's successor, which reads the log from
+    // the newest checkpoint: its callers are served a quarter of a second sooner. Holders
+    // take turns and write one checkpoint after a thousand records, not one each.
     await fleet.start('one');
     await fleet.start('two');
     await fleet.start('three');
     const foreign = Array.from({length: 1_000}, () => Uint8Array.of(0xff));
     await fleet.log.append(BUDGET_PARTITION, foreign);
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(({event}) => event === 'budget checkpoint written'),
     );
     await fleet.start('four');
@@ -448,43 +465,45 @@
   });
 
   it.each([0, 10])(
-    'gets a loan whose answer was lost from the lender’s record (held up for %i ms)',
-    async heldMilliseconds => {
-      // The caller sees its later requests served. Loans are made while the store is
-      // away, and every answer is lost: the tokens are off the lender's account and
-      // nobody has them until the store is back and the record is read.
+    'recovers a loan whose answer was lost from the lender’s record (blocked for %i ms)',
+    async blockedMilliseconds => {
+      // Guards against refusals for lost tokens. Loans are made while the store is
+      // unavailable and every answer is lost. The tokens are deducted from the lender's
+      // account, and no account has them until the store is back and the record is read.
       const borrower = await fleet.start('one');
       const lender = await fleet.start('two');
       for (let request = 0; request < 4; request++) {
-        expect(await use(lender, REQUEST)).toBe(true);
+        expect(await spend(lender, REQUEST)).toBe(true);
       }
-      if (heldMilliseconds > 0) {
-        // Both holders' reads are due at once.
-        holdUp(LONGER_THAN_POLL_MILLISECONDS);
-        holdUpAfterFirstReads(heldMilliseconds);
+      if (blockedMilliseconds > 0) {
+        // Both holders' reads become due at the same time.
+        blockEventLoop(LONGER_THAN_POLL_MILLISECONDS);
+        blockAfterInitialReads(blockedMilliseconds);
       }
-      await until(() => available(lender) > 2 * REQUEST);
-      // A holder knows the others from the log alone.
-      await until(() => borrower.holders === 2);
+      await waitUntil(() => available(lender) > 2 * REQUEST);
+      // A holder learns of the others only from the log.
+      await waitUntil(() => borrower.holders === 2);
       fleet.log.faults.isAway = true;
-      await until(() =>
+      await waitUntil(() =>
         fleet.events.some(
           ({event, host}) => event === 'store lost' && host === 'one',
         ),
       );
       fleet.faults.losesAnswers = true;
       const before = available(borrower) + available(lender);
-      expect(await use(borrower, available(borrower) + REQUEST)).toBe(false);
+      expect(await spend(borrower, available(borrower) + REQUEST)).toBe(false);
       const lost = before - available(borrower) - available(lender);
       expect(lost).toBeGreaterThan(REQUEST);
       fleet.log.faults.isAway = false;
-      await until(() =>
-        fleet.events.some(({event}) => event === 'lost loan found on the log'),
+      await waitUntil(() =>
+        fleet.events.some(
+          ({event}) => event === 'lost loan recovered from the log',
+        ),
       );
       fleet.faults.losesAnswers = false;
       let spent = 4 * REQUEST;
       for (const holder of [borrower, lender, borrower]) {
-        while (await use(holder, REQUEST)) {
+        while (await spend(holder, REQUEST)) {
           spent += REQUEST;
         }
       }
@@ -492,32 +511,32 @@
     },
   );
 
-  it('serves a request by a loan that its own late link held up, and takes it once', async () => {
-    // Guards against refusals while a lender's answer waits at this host's link.
+  it('serves a request with a loan delayed by its own link and credits it once', async () => {
+    // Guards against refusals while this host's link delays a lender's answer.
     const borrower = await fleet.start('one');
     const lender = await fleet.start('two');
     for (let request = 0; request < 4; request++) {
-      expect(await use(lender, REQUEST)).toBe(true);
+      expect(await spend(lender, REQUEST)).toBe(true);
     }
-    await until(() => available(lender) > 2 * REQUEST);
-    await until(() => borrower.holders === 2);
+    await waitUntil(() => available(lender) > 2 * REQUEST);
+    await waitUntil(() => borrower.holders === 2);
     fleet.log.faults.isAway = true;
-    await until(() =>
+    await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
       ),
     );
     fleet.link.delayMilliseconds = 200;
-    fleet.faults.answersLateMilliseconds = 300;
+    fleet.faults.answerDelayMilliseconds = 300;
     const large = available(borrower) + REQUEST;
-    expect(await use(borrower, large)).toBe(true);
-    // The lender that has answered is asked again at once.
+    expect(await spend(borrower, large)).toBe(true);
+    // A lender whose late answer has come is asked again immediately.
     const another = available(borrower) + REQUEST;
-    expect(await use(borrower, another)).toBe(true);
-    fleet.faults.answersLateMilliseconds = 0;
+    expect(await spend(borrower, another)).toBe(true);
+    fleet.faults.answerDelayMilliseconds = 0;
     fleet.link.delayMilliseconds = 0;
     fleet.log.faults.isAway = false;
-    await until(() =>
+    await waitUntil(() =>
       ['one', 'two'].every(host =>
         fleet.events.some(
           ({event, host: of}) => event === 'store regained' && of === host,
@@ -526,7 +545,7 @@
     );
     let spent = 4 * REQUEST + large + another;
     for (const holder of [borrower, lender, borrower]) {
-      while (await use(holder, REQUEST)) {
+      while (await spend(holder, REQUEST)) {
         spent += REQUEST;
       }
     }
@@ -534,16 +553,16 @@
     expect(PREPAID - spent).toBeLessThanOrEqual(REQUEST);
   });
 
-  it('charges nothing for answers that were not there when all hosts died', async () => {
-    // The caller sees: after all hosts lost power at once, its budget is there. Each
-    // host runs requests whose first event has not come, and promised their tokens.
+  it('charges nothing for undelivered answers when all hosts are killed', async () => {
+    // Guards against a budget that shrinks when all hosts lose power at once. Each host
+    // runs requests whose first event has not come and whose tokens are only promised.
     const holders = [await fleet.start('one'), await fleet.start('two')];
-    await until(() => holders.every(holder => available(holder) > 0));
+    await waitUntil(() => holders.every(holder => available(holder) > 0));
     for (const holder of holders) {
       for (let request = 0; request < 10; request++) {
         const result = await holder.reservations.reserve(
           SCHOOL,
-          wish(REQUEST, true),
+          tokenRequest(REQUEST, true),
         );
         expect(result).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
@@ -555,7 +574,7 @@
     fleet.kill('two');
     const successor = await fleet.start('one');
     await fleet.start('two');
-    await until(() => available(successor) > 0);
+    await waitUntil(() => available(successor) > 0);
     expect(successor.describe(SCHOOL)?.spentKnown).toBeLessThanOrEqual(held);
     expect(
       fleet.events.filter(
@@ -564,18 +583,22 @@
     ).toHaveLength(2);
   });
 
-  it('takes promised tokens from the store when the answer is there', async () => {
-    // The caller sees its whole answer. Its bound is more than the host has in hand,
-    // the store has it, and the answer waits for one exchange with the store.
+  it('gets promised tokens from the store when the answer is ready', async () => {
+    // Guards against an answer that is truncated although the store has its tokens. The
+    // bound exceeds the host's available tokens, and the answer waits for one exchange
+    // with the store.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(SCHOOL, wish(bound, true));
+    const begun = await holder.reservations.reserve(
+      SCHOOL,
+      tokenRequest(bound, true),
+    );
     expect('reservation' in begun).toBe(true);
     if ('reservation' in begun) {
-      const taken = await holder.reservations.take(begun.reservation, WAIT);
-      expect(taken.refusal).toBeUndefined();
-      holder.reservations.settle(taken.reservation, bound);
+      const result = await holder.reservations.take(begun.reservation, WAIT);
+      expect(result.refusal).toBeUndefined();
+      holder.reservations.settle(result.reservation, bound);
       expect(holder.describe(SCHOOL)).toMatchObject({
         promised: 0,
         reserved: 0,
@@ -584,69 +607,74 @@
     }
   });
 
-  it('holds a ready answer back until the store is back, before new requests', async () => {
-    // The caller sees its answer late, and whole. The store goes away while the
-    // request runs, and the host has too little in hand; a request that comes then is
-    // refused at once as not run.
+  it('delays a ready answer until the store is back and serves it first', async () => {
+    // Guards against losing an answer when the store becomes unavailable while the
+    // request runs and the host has too few tokens: the caller gets the whole answer
+    // late. A request that arrives during the outage is refused immediately as not run.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(SCHOOL, wish(bound, true));
+    const begun = await holder.reservations.reserve(
+      SCHOOL,
+      tokenRequest(bound, true),
+    );
     fleet.log.faults.isAway = true;
-    await until(() => fleet.events.some(({event}) => event === 'store lost'));
+    await waitUntil(() =>
+      fleet.events.some(({event}) => event === 'store lost'),
+    );
     expect(
-      await holder.reservations.reserve(SCHOOL, wish(bound, true)),
+      await holder.reservations.reserve(SCHOOL, tokenRequest(bound, true)),
     ).toEqual({
-      refusal: BudgetRefusal.StoreAway,
+      refusal: BudgetRefusal.StoreUnavailable,
     });
     if ('reservation' in begun) {
-      const taken = holder.reservations.take(begun.reservation, WAIT);
+      const result = holder.reservations.take(begun.reservation, WAIT);
       fleet.log.faults.isAway = false;
-      expect((await taken).refusal).toBeUndefined();
+      expect((await result).refusal).toBeUndefined();
     }
     expect(holder.describe(SCHOOL)).toMatchObject({reserved: bound});
   });
 
-  it('stops waiting for tokens when the caller leaves', async () => {
-    // Tokens that come later go to others: the caller closed its connection while its
-    // answer waited for the store.
+  it('stops waiting for tokens when the caller disconnects', async () => {
+    // Guards against tokens that go to a caller that closed its connection while its
+    // answer waited for the store; later tokens must serve other requests.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
       SCHOOL,
-      wish(available(holder) + 20_000, true),
+      tokenRequest(available(holder) + 20_000, true),
     );
     fleet.log.faults.isAway = true;
     const leaving = new AbortController();
     if ('reservation' in begun) {
-      const taken = holder.reservations.take(begun.reservation, {
+      const result = holder.reservations.take(begun.reservation, {
         ...WAIT,
         signal: leaving.signal,
       });
       leaving.abort();
-      const {reservation, refusal} = await taken;
+      const {reservation, refusal} = await result;
       expect(refusal).toBeDefined();
       holder.reservations.settle(reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
   });
 
-  it('takes no tokens for a caller that left before its answer came', async () => {
-    // The next caller is served: nobody stands before it in line whose connection is
-    // closed already.
+  it('reserves no tokens for a caller that disconnected before its answer', async () => {
+    // Guards against a queued request whose connection is already closed and that blocks
+    // the next caller's request.
     const holder = await fleet.start('one');
-    await until(() => available(holder) > 0);
+    await waitUntil(() => available(holder) > 0);
     const begun = await holder.reservations.reserve(
       SCHOOL,
-      wish(available(holder) + 20_000, true),
+      tokenRequest(available(holder) + 20_000, true),
     );
     const left = {...WAIT, signal: AbortSignal.abort()};
     if ('reservation' in begun) {
-      const taken = await holder.reservations.take(begun.reservation, left);
-      expect(taken.refusal).toBeDefined();
-      holder.reservations.settle(taken.reservation, 0);
+      const result = await holder.reservations.take(begun.reservation, left);
+      expect(result.refusal).toBeDefined();
+      holder.reservations.settle(result.reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
-    expect(await use(holder, REQUEST)).toBe(true);
+    expect(await spend(holder, REQUEST)).toBe(true);
   });
 });
--- a/packages/gateway/src/test/holder-fleet.ts
+++ b/packages/gateway/src/test/holder-fleet.ts
@@ -15,8 +15,8 @@
 import type {FleetConfiguration} from '../configuration.js';
 import {
   LoanPeers,
-  type Gift,
-  type LateTaker,
+  type GrantHandover,
+  type LateAnswerHandler,
   type LoanRequest,
 } from '../loan-peers.js';
 import {LoopLag} from '../loop-lag.js';
@@ -26,15 +26,15 @@
 const POOLED_PART = 0.5;
 const CHECKPOINT_MILLISECONDS = 60_000;
 
-/** What a fleet of holders lets go wrong between them. */
+/** Injected faults of calls between holders. */
 export interface PeerFaults {
-  /** Answers to loans are lost after the lender took the tokens off. */
+  /** Whether answers to loans are lost after the lender deducted the tokens. */
   losesAnswers: boolean;
-  /** Answers to loans come so long after their limit; 0 for in time. */
-  answersLateMilliseconds: number;
+  /** Time by which answers to loans exceed their timeout; 0 for answers in time. */
+  answerDelayMilliseconds: number;
 }
 
-/** Calls holders of the same process, by their addresses. */
+/** Calls holders in the same process by their addresses. */
 class DirectPeers extends LoanPeers {
   constructor(
     private readonly holders: ReadonlyMap<string, BudgetHolder>,
@@ -46,65 +46,73 @@
   override async borrow(
     address: string,
     request: LoanRequest,
-    late?: LateTaker,
+    onLateAnswer?: LateAnswerHandler,
   ): Promise<number | undefined> {
-    const {losesAnswers, answersLateMilliseconds} = this.faults;
+    const {losesAnswers, answerDelayMilliseconds} = this.faults;
     const lent = await this.holder(address).lender.lend(request);
-    const isLate = answersLateMilliseconds > 0;
-    if (losesAnswers || (isLate && late === undefined)) {
-      throw new StepError('borrow grant', address, Fate.Unknown, 'lost');
+    const isLate = answerDelayMilliseconds > 0;
+    if (losesAnswers || (isLate && onLateAnswer === undefined)) {
+      throw new StepError('borrow grant', address, Fate.Unknown, 'answer lost');
     }
     if (!isLate) {
       return lent;
     }
-    late?.(
+    onLateAnswer?.(
       new Promise(resolve => {
-        setTimeout(resolve, answersLateMilliseconds, lent);
+        setTimeout(resolve, answerDelayMilliseconds, lent);
       }),
     );
     return undefined;
   }
 
-  override give(address: string, gift: Gift): Promise<boolean> {
-    return Promise.resolve(this.holder(address).lender.takeOver(gift));
+  override handOver(
+    address: string,
+    handover: GrantHandover,
+  ): Promise<boolean> {
+    return Promise.resolve(this.holder(address).lender.takeOver(handover));
   }
 
   override close(): void {
-    // Nothing is open.
+    // There are no connections.
   }
 
   private holder(address: string): BudgetHolder {
     const holder = this.holders.get(address);
     if (holder === undefined) {
-      throw new StepError('reach holder', address, Fate.NotDone, 'gone');
+      throw new StepError(
+        'reach holder',
+        address,
+        Fate.NotDone,
+        'holder stopped',
+      );
     }
     return holder;
   }
 }
 
-/** The log as one host reaches it: not at all while that host is cut off. */
-class LogOfHost extends PartitionedLog {
+/** One host's access to the log, which fails while that host is isolated. */
+class HostLog extends PartitionedLog {
   constructor(
     private readonly log: MemoryPartitionedLog,
-    private readonly isCutOff: () => boolean,
+    private readonly isIsolated: () => boolean,
   ) {
     super();
   }
 
   override append(partition: Partition, records: readonly Uint8Array[]) {
-    return this.reached(() => this.log.append(partition, records));
+    return this.callLog(() => this.log.append(partition, records));
   }
 
   override read(partition: Partition, from: number, waitMilliseconds: number) {
-    return this.reached(() => this.log.read(partition, from, waitMilliseconds));
+    return this.callLog(() => this.log.read(partition, from, waitMilliseconds));
   }
 
   override newest(partition: Partition) {
-    return this.reached(() => this.log.newest(partition));
+    return this.callLog(() => this.log.newest(partition));
   }
 
   override put(partition: Partition, key: string, value?: Uint8Array) {
-    return this.reached(() => this.log.put(partition, key, value));
+    return this.callLog(() => this.log.put(partition, key, value));
   }
 
   override keyedRecord(offset: number, record: Uint8Array) {
@@ -112,28 +120,30 @@
   }
 
   override close(): void {
-    // The log is the fleet's.
+    // The fleet owns the log.
   }
 
-  private reached<Value>(call: () => Promise<Value>): Promise<Value> {
-    return this.isCutOff()
-      ? Promise.reject(new StepError('reach log', '', Fate.NotDone, 'cut off'))
+  private callLog<Value>(call: () => Promise<Value>): Promise<Value> {
+    return this.isIsolated()
+      ? Promise.reject(
+          new StepError('reach log', '', Fate.NotDone, 'host isolated'),
+        )
       : call();
   }
 }
 
-/** Holders of one budget over one log in memory, without sockets. */
+/** Holders of one budget that share an in-memory log, without sockets. */
 export class HolderFleet {
   readonly log = new MemoryPartitionedLog();
   readonly faults: PeerFaults = {
     losesAnswers: false,
-    answersLateMilliseconds: 0,
+    answerDelayMilliseconds: 0,
   };
-  /** Of every host. */
+  /** The link of every host. */
   readonly link = new FakeHostLink();
   readonly events: Record<string, unknown>[] = [];
-  /** Hosts that do not reach the log. */
-  readonly cutOff = new Set<string>();
+  /** Hosts that cannot reach the log. */
+  readonly isolatedHosts = new Set<string>();
   private readonly clock = new SystemClock();
   private readonly holders = new Map<string, BudgetHolder>();
   private readonly storeHealths: StoreHealth[] = [];
@@ -145,7 +155,7 @@
   /** Starts a holder on a host of this name. */
   async start(host: string): Promise<BudgetHolder> {
     const {clock} = this;
-    const log = new LogOfHost(this.log, () => this.cutOff.has(host));
+    const log = new HostLog(this.log, () => this.isolatedHosts.has(host));
     const events = EventLog.create(LogLevel.INFO, {host}, line => {
       this.events.push(JSON.parse(line) as Record<string, unknown>);
     });
@@ -178,11 +188,11 @@
     this.holders.set(host, holder);
     holder.configure(this.configuration());
     void holder.run();
-    await until(() => holder.isReady);
+    await waitUntil(() => holder.isReady);
     return holder;
   }
 
-  /** Puts a configuration with another budget into force at every holder. */
+  /** Applies a configuration with another budget at every holder. */
   changeBudget(prepaid: number): void {
     this.prepaid = prepaid;
     this.version++;
@@ -192,12 +202,12 @@
   }
 
   /**
-   * Waits until every holder that was started has had an answer from the store.
+   * Waits until the store has answered every holder that was started.
    *
    * @param since Earliest time of the answers by the monotonic clock, milliseconds.
    */
   async waitForAnswers(since: number): Promise<void> {
-    await until(() => {
+    await waitUntil(() => {
       const now = this.clock.monotonicMilliseconds();
       return this.storeHealths.every(
         health => now - health.answerAge(now) >= since,
@@ -205,13 +215,13 @@
     });
   }
 
-  /** Ends a holder at once, as a kill does. */
+  /** Aborts a holder, like the kill of its process. */
   kill(host: string): void {
     this.holders.get(host)?.abort();
     this.holders.delete(host);
   }
 
-  /** Ends all. */
+  /** Aborts all holders. */
   close(): void {
     for (const holder of this.holders.values()) {
       holder.abort();
@@ -236,9 +246,9 @@
   }
 }
 
-/** Waits until something holds; a test's own time limit bounds it. */
-export async function until(holds: () => boolean): Promise<void> {
-  while (!holds()) {
+/** Waits for a condition, within the time limit of the test. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 5));
   }
 }
--- a/packages/gateway/src/token-reservations.ts
+++ b/packages/gateway/src/token-reservations.ts
@@ -5,139 +5,149 @@
 } from '@wisteriadeal/budgets';
 import {NetworkTimeout} from '@wisteriadeal/platform';
 
-import type {BudgetBook} from './budget-book.js';
+import type {BudgetRegistry} from './budget-registry.js';
 import type {GrantBorrower} from './grant-borrower.js';
 import type {
   OrganisationBudget,
   ReserveResult,
-  TokenWish,
+  TokenRequest,
 } from './organisation-budget.js';
 import {BudgetRefusal} from './token-waiters.js';
 
 /**
- * A request waits so long for a grant. An append and a read take about 10 ms; the
- * shortest goal among the users' requests is some 150 ms.
+ * How long a request waits for a grant. An append and a read take about 10 ms; the
+ * shortest latency goal of the users' requests is about 150 ms.
  */
-const WAIT_MILLISECONDS = 400;
-/** A request is refused by then, while its caller has time to try another host. */
-const LONGEST_WAIT_MILLISECONDS = 1_500;
-/** The exchange with the store that is under way, and the one that brings the grant. */
-const WAIT_EXCHANGES = 2;
-/** A lender waits so long for the store; its borrower waits 120 ms for it. */
-const FETCH_MILLISECONDS = 70;
+const GRANT_WAIT_MILLISECONDS = 400;
+/** Maximum wait for a grant, which leaves the caller time to try another host. */
+const MAXIMUM_GRANT_WAIT_MILLISECONDS = 1_500;
+/** A grant takes the exchange with the store in progress and one that requests it. */
+const EXCHANGES_PER_GRANT = 2;
+/** How long a lender waits for the store; its borrower waits 120 ms for the lender. */
+const LENDER_FETCH_MILLISECONDS = 70;
 
-/** How long an answer that is ready waits for its tokens. */
+/** Limits of the time that a ready answer waits for its tokens. */
 export interface DeliveryLimit {
   readonly milliseconds: number;
   readonly signal: AbortSignal;
 }
 
-/** What became of a promise when its answer was ready. */
+/** Result of reserving promised tokens for a ready answer. */
 export interface TakenReservation {
   readonly reservation: Reservation;
-  /** Undefined where the answer may be passed on. */
+  /** Undefined if the answer may be sent to the caller. */
   readonly refusal: BudgetRefusal | undefined;
 }
 
 /**
- * Takes requests' tokens from this process's grants, without a message where they
+ * Reserves requests' tokens from this process's grants, without a message if the grants
  * cover them.
  */
 export class TokenReservations {
   private isClosing = false;
 
-  /** @param wake Begins the next exchange with the store at once. */
+  /** @param wake Starts the next exchange with the store immediately. */
   constructor(
-    private readonly book: BudgetBook,
+    private readonly registry: BudgetRegistry,
     private readonly borrower: GrantBorrower,
     private readonly wake: () => void,
   ) {}
 
-  /** Lets no more requests begin that need tokens: they are handed back. */
+  /** Refuses new requests that need tokens, because the grants are being returned. */
   close(): void {
     this.isClosing = true;
   }
 
   /**
-   * Lets a request begin: puts the most that it can use aside, or promises it.
+   * Reserves or promises the maximum tokens that a new request can use.
    *
-   * @returns At once where the grants or the log cover it; else after the store's
-   *     verdict or a loan.
+   * @returns The reservation or a refusal. It resolves immediately if the grants or the
+   *     log cover the request; else after the store's verdict, a loan or the timeout.
    */
-  async reserve(organisation: string, wish: TokenWish): Promise<ReserveResult> {
+  async reserve(
+    organisation: string,
+    wish: TokenRequest,
+  ): Promise<ReserveResult> {
     const {bound, mayPromise} = wish;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (budget === undefined || bound === 0) {
-      return {reservation: unlimited(organisation)};
+      return {reservation: emptyReservation(organisation)};
     }
     if (this.isClosing) {
       return {refusal: BudgetRefusal.Stopping};
     }
-    const view = this.book.view(organisation);
-    const now = this.book.now();
-    const isLogAtHand = this.book.health.isAtHand(now);
-    const point = chargePoint(budget.account, view, bound, isLogAtHand);
+    const view = this.registry.view(organisation);
+    const now = this.registry.now();
+    const isLogResponsive = this.registry.health.isResponsive(now);
+    const point = chargePoint(budget.account, view, bound, isLogResponsive);
     if (mayPromise && point === ChargePoint.Delivery) {
       return {reservation: budget.promise(bound)};
     }
-    const kept = isLogAtHand ? 0 : budget.account.promised;
-    const reservation = budget.reserveNow(bound, kept);
+    const kept = isLogResponsive ? 0 : budget.account.promised;
+    const reservation = budget.tryReserve(bound, kept);
     if (reservation !== undefined) {
       return {reservation};
     }
     if (budget.isExhausted(view, bound)) {
       return {refusal: BudgetRefusal.Exhausted};
     }
-    const result = budget.reserveLater(bound, {
-      milliseconds: this.waitFor(wish),
-      refusal: () => this.book.refusalOfLate(budget, bound),
+    const result = budget.reserveWhenAvailable(bound, {
+      milliseconds: this.grantWaitMilliseconds(wish),
+      refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
-    return this.bring(budget, result);
+    return this.awaitTokens(budget, result);
   }
 
   /**
-   * Takes what was promised, before the first part of an answer is passed on: all
-   * that was delivered stands on the log as granted to this process.
+   * Reserves promised tokens before the first part of an answer is sent to the caller.
+   * All delivered tokens are thereby covered by grants to this process on the log.
    *
-   * @returns The reservation that is left, and why its tokens are not taken.
+   * @returns The resulting reservation, and the reason if its tokens are not reserved.
    */
   async take(
     reservation: Reservation,
     limit: DeliveryLimit,
   ): Promise<TakenReservation> {
     const {organisation, bound} = reservation;
-    const budget = this.book.get(organisation);
+    const budget = this.registry.get(organisation);
     if (
       budget === undefined ||
       reservation.chargePoint === ChargePoint.Dispatch
     ) {
       return {reservation, refusal: undefined};
     }
-    const taken = {...reservation, chargePoint: ChargePoint.Dispatch};
-    if (budget.keepPromiseNow(bound)) {
-      return {reservation: taken, refusal: undefined};
+    const reserved = {...reservation, chargePoint: ChargePoint.Dispatch};
+    if (budget.tryReservePromised(bound)) {
+      return {reservation: reserved, refusal: undefined};
     }
-    const result = budget.keepPromiseLater(bound, {
+    const result = budget.reservePromisedWhenAvailable(bound, {
       ...limit,
-      refusal: () => this.book.refusalOfLate(budget, bound),
+      refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
-    const refusal = await this.bring(budget, result);
-    return {reservation: refusal === undefined ? taken : reservation, refusal};
+    const refusal = await this.awaitTokens(budget, result);
+    return {
+      reservation: refusal === undefined ? reserved : reservation,
+      refusal,
+    };
   }
 
-  /** Ends a reservation with what the request used. */
+  /**
+   * Ends a reservation.
+   *
+   * @param used Tokens that the request used.
+   */
   settle(reservation: Reservation, used: number): void {
-    const budget = this.book.get(reservation.organisation);
+    const budget = this.registry.get(reservation.organisation);
     if (budget !== undefined && reservation.bound > 0) {
       budget.settle(reservation, used);
     }
   }
 
-  /** Brings tokens from the store for a loan, without asking for one in turn. */
-  async fetch(budget: OrganisationBudget, least: number): Promise<void> {
-    const fetched = budget.reserveLater(least, {
-      milliseconds: FETCH_MILLISECONDS,
-      refusal: () => this.book.refusalOfLate(budget, least),
+  /** Requests tokens from the store for a loan, without borrowing from other holders. */
+  async fetchForLoan(budget: OrganisationBudget, least: number): Promise<void> {
+    const fetched = budget.reserveWhenAvailable(least, {
+      milliseconds: LENDER_FETCH_MILLISECONDS,
+      refusal: () => this.registry.timeoutRefusal(budget, least),
     });
     this.wake();
     const result = await fetched;
@@ -146,36 +156,42 @@
     }
   }
 
-  /** Longer while this host's link delays the store's answers, within its time. */
-  private waitFor({remainingMilliseconds = Infinity}: TokenWish): number {
-    const delay = WAIT_EXCHANGES * this.book.health.linkDelayMilliseconds;
+  /**
+   * Milliseconds that a request waits for a grant. The wait is longer while this host's
+   * link delays the store's answers, within limits and half of the request's time left.
+   */
+  private grantWaitMilliseconds({
+    remainingMilliseconds = Infinity,
+  }: TokenRequest): number {
+    const delay =
+      EXCHANGES_PER_GRANT * this.registry.health.linkDelayMilliseconds;
     const longest = Math.min(
-      LONGEST_WAIT_MILLISECONDS,
+      MAXIMUM_GRANT_WAIT_MILLISECONDS,
       remainingMilliseconds / 2,
     );
     return Math.max(
-      WAIT_MILLISECONDS,
-      Math.min(longest, WAIT_MILLISECONDS + delay),
+      GRANT_WAIT_MILLISECONDS,
+      Math.min(longest, GRANT_WAIT_MILLISECONDS + delay),
     );
   }
 
-  /** Wakes the exchange with the store, and asks other holders where it is late. */
-  private async bring<Result>(
+  /** Starts an exchange with the store, and borrows from other holders if it is late. */
+  private async awaitTokens<Result>(
     budget: OrganisationBudget,
     result: Promise<Result>,
   ): Promise<Result> {
     this.wake();
-    const {health} = this.book;
+    const {health} = this.registry;
     const borrowIfLate = () => {
-      const patience = health.lateIn(this.book.now());
-      if (patience > 0) {
-        timeout = new NetworkTimeout(patience, borrowIfLate);
+      const delay = health.millisecondsUntilLate(this.registry.now());
+      if (delay > 0) {
+        timeout = new NetworkTimeout(delay, borrowIfLate);
       } else {
         void this.borrower.borrow(budget);
       }
     };
     let timeout = new NetworkTimeout(
-      health.lateIn(this.book.now()),
+      health.millisecondsUntilLate(this.registry.now()),
       borrowIfLate,
     );
     try {
@@ -186,7 +202,7 @@
   }
 }
 
-/** Of an organisation without a budget, or a request without tokens. */
-function unlimited(organisation: string): Reservation {
+/** Reservation for an organisation without a budget or a request without tokens. */
+function emptyReservation(organisation: string): Reservation {
   return {organisation, bound: 0, chargePoint: ChargePoint.Dispatch};
 }
