--- a/packages/gateway/src/plain-message-reader.ts
+++ b/packages/gateway/src/plain-message-reader.ts
@@ -12,11 +12,12 @@
 const WIRE_TYPE_BITS = 3;
 
 /**
- * Decodes messages of one type several times as fast as `fromBinary`, which looks up
- * each field of each message by reflection. Load: each host of a large fleet folds
- * the budget records of all.
+ * Decodes messages of one type several times as fast as `fromBinary`, which
+ * looks up each field of each message by reflection. Each host of a large fleet
+ * decodes the budget records of all hosts, so the decoding time matters.
  *
- * It knows scalars and oneofs of messages, as this project's encoder writes them.
+ * It supports scalar fields and oneofs of messages, as this project's encoder
+ * writes them.
  *
  * @example
  * ```ts
@@ -34,7 +35,7 @@
       if (member.kind === 'oneof') {
         this.empty[member.localName] = {case: undefined};
         member.fields.forEach(field => {
-          this.addChoice(member.localName, field);
+          this.addOneof(member.localName, field);
         });
       } else if (member.fieldKind === 'scalar') {
         this.addScalar(member.localName, member.number, member.scalar);
@@ -42,20 +43,22 @@
     }
   }
 
-  /** @returns Undefined for bytes that take the library to decode or to refuse. */
+  /**
+   * @returns Undefined for bytes that only the library can decode or reject.
+   */
   read(bytes: Uint8Array): MessageShape<Schema> | undefined {
     try {
-      return this.readUntil(
+      return this.decodeUntil(
         new BinaryReader(bytes),
         bytes.length,
       ) as unknown as MessageShape<Schema> | undefined;
     } catch {
-      // The library says what is wrong.
+      // The caller falls back to the library, which reports the error.
       return undefined;
     }
   }
 
-  private readUntil(reader: BinaryReader, end: number): Fields | undefined {
+  private decodeUntil(reader: BinaryReader, end: number): Fields | undefined {
     const message = {...this.empty};
     while (reader.pos < end) {
       const readField = this.readers.get(reader.uint32());
@@ -79,7 +82,7 @@
     });
   }
 
-  private addChoice(name: string, field: DescField): void {
+  private addOneof(name: string, field: DescField): void {
     if (field.fieldKind !== 'message') {
       return;
     }
@@ -90,8 +93,8 @@
       tagOf(field.number, WireType.LengthDelimited),
       (reader, message) => {
         const length = reader.uint32();
-        const value = content.readUntil(reader, reader.pos + length);
-        // A second one would have to be merged with the first.
+        const value = content.decodeUntil(reader, reader.pos + length);
+        // A second value of the oneof would have to be merged with the first.
         if (value === undefined || message[name] !== none) {
           return false;
         }
--- a/packages/gateway/src/process-traffic.ts
+++ b/packages/gateway/src/process-traffic.ts
@@ -3,17 +3,20 @@
 
 import {HostTraffic} from './host-traffic.js';
 
-/** Node.js names each new connection there. */
+/** Diagnostics channels on which Node.js publishes each new socket. */
 const OPENED_CHANNEL = 'net.client.socket';
 const ACCEPTED_CHANNEL = 'net.server.socket';
 
-/** Bytes of the connections on one side. */
-class SideTraffic {
+/**
+ * Byte counts of the connections that were accepted, or of those that were
+ * opened.
+ */
+class ConnectionTraffic {
   private readonly open = new Set<Socket>();
-  private readOfClosed = 0;
-  private writtenOfClosed = 0;
+  private closedBytesRead = 0;
+  private closedBytesWritten = 0;
 
-  /** Takes a message of one of the channels. */
+  /** Handles a message of one of the channels. */
   readonly add = (message: unknown): void => {
     const socket = (message as {readonly socket?: unknown}).socket;
     if (!(socket instanceof Socket)) {
@@ -22,17 +25,17 @@
     this.open.add(socket);
     socket.once('close', () => {
       this.open.delete(socket);
-      this.readOfClosed += socket.bytesRead;
-      this.writtenOfClosed += socket.bytesWritten;
+      this.closedBytesRead += socket.bytesRead;
+      this.closedBytesWritten += socket.bytesWritten;
     });
   };
 
-  get read(): number {
-    return this.sum(this.readOfClosed, ({bytesRead}) => bytesRead);
+  get bytesRead(): number {
+    return this.sum(this.closedBytesRead, ({bytesRead}) => bytesRead);
   }
 
-  get written(): number {
-    return this.sum(this.writtenOfClosed, ({bytesWritten}) => bytesWritten);
+  get bytesWritten(): number {
+    return this.sum(this.closedBytesWritten, ({bytesWritten}) => bytesWritten);
   }
 
   private sum(closed: number, bytes: (socket: Socket) => number): number {
@@ -44,12 +47,15 @@
   }
 }
 
-/** Bytes on all TCP connections of this process since it began: it is alone on its host. */
+/**
+ * Bytes on all TCP connections of this process since its start. The process has
+ * its host to itself.
+ */
 export class ProcessTraffic extends HostTraffic {
-  private readonly accepted = new SideTraffic();
-  private readonly opened = new SideTraffic();
+  private readonly accepted = new ConnectionTraffic();
+  private readonly opened = new ConnectionTraffic();
 
-  /** Counts connections that come from now on. */
+  /** Starts counting new connections. */
   constructor() {
     super();
     subscribe(ACCEPTED_CHANNEL, this.accepted.add);
@@ -60,13 +66,13 @@
     readonly fromCallers: number;
     readonly inAll: number;
   } {
-    const fromCallers = this.accepted.read;
-    return {fromCallers, inAll: fromCallers + this.opened.read};
+    const fromCallers = this.accepted.bytesRead;
+    return {fromCallers, inAll: fromCallers + this.opened.bytesRead};
   }
 
   override get sent(): {readonly toCallers: number; readonly inAll: number} {
-    const toCallers = this.accepted.written;
-    return {toCallers, inAll: toCallers + this.opened.written};
+    const toCallers = this.accepted.bytesWritten;
+    return {toCallers, inAll: toCallers + this.opened.bytesWritten};
   }
 
   override close(): void {
--- a/packages/gateway/src/test/plain-message-reader_test.ts
+++ b/packages/gateway/src/test/plain-message-reader_test.ts
@@ -85,7 +85,7 @@
   }
 }
 
-it('decodes what the encoder writes, as the library does', () => {
+it('decodes encoded records like the library', () => {
   const reader = new PlainMessageReader(BudgetRecordSchema);
   assert(
     property(records, sent => {
@@ -96,7 +96,7 @@
   );
 });
 
-it('decodes a record that was changed or joined as the library does: all hosts fold alike', () => {
+it('decodes changed, joined and cut records like the library, so that all hosts agree', () => {
   const changes = array(tuple(nat(300), nat(255)), {maxLength: 4});
   assert(
     property(records, records, changes, nat(400), (one, other, set, length) => {
@@ -114,7 +114,7 @@
   );
 });
 
-it('decodes foreign bytes as the library does', () => {
+it('decodes arbitrary bytes like the library', () => {
   assert(
     property(uint8Array({maxLength: 60}), bytes => {
       expect(decodeRecord(bytes)).toStrictEqual(byLibrary(bytes));
--- a/packages/gateway/src/test/process-traffic_test.ts
+++ b/packages/gateway/src/test/process-traffic_test.ts
@@ -4,8 +4,8 @@
 
 import {ProcessTraffic} from '../process-traffic.js';
 
-it('counts what came on connections of both sides, also after their close', async () => {
-  // Guards against bytes of callers that nothing tells of.
+it('counts bytes of accepted and opened connections, also after their close', async () => {
+  // Guards against bytes of callers that are missing from all counts.
   const traffic = new ProcessTraffic();
   const server = createServer(socket => {
     socket.resume();
