--- /dev/null
+++ b/packages/gateway/src/answer-timeouts.ts
@@ -0,0 +1,181 @@
+import type {
+  AnswerEstimate,
+  DataCenterTrust,
+  PromptSize,
+  SilenceBounds,
+} from '@wisteriadeal/decisions';
+import type {Clock, HostLink} from '@wisteriadeal/platform';
+
+import {RouteKind} from './configuration.js';
+import type {KnownEndpoint} from './endpoint-directory.js';
+import type {EndpointExchange} from './endpoint-exchange.js';
+import type {RequestContext} from './request-context.js';
+import {InactivityMonitor, type InactivityLimits} from './silence-watch.js';
+
+/** Inactivity timeouts for one kind of answer. */
+interface TimeoutOptions {
+  /**
+   * The endpoint is suspected, and gets no new requests, after this multiple of
+   * the expected time to the first byte.
+   */
+  readonly suspectFactor: number;
+  /** Lower bound of the time until suspicion, milliseconds. */
+  readonly minimumSuspectMilliseconds: number;
+  /**
+   * A request that may be repeated fails over after this multiple of the
+   * expected time to the first byte ...
+   */
+  readonly failoverFactor: number;
+  /** ... or this multiple of the route's latency goal, whichever is longer. */
+  readonly failoverGoals: number;
+  /** Lower bound of the time until failover, milliseconds. */
+  readonly minimumFailoverMilliseconds: number;
+}
+
+/**
+ * Engines process prompts in turn, so a first event is late when long prompts
+ * are ahead of it.
+ */
+const STREAM_TIMEOUTS: TimeoutOptions = {
+  suspectFactor: 3,
+  minimumSuspectMilliseconds: 400,
+  failoverFactor: 3,
+  failoverGoals: 1.5,
+  minimumFailoverMilliseconds: 900,
+};
+/**
+ * The latencies of buffered answers vary little, except for about one in a
+ * hundred.
+ */
+const BUFFERED_ANSWER_TIMEOUTS: TimeoutOptions = {
+  suspectFactor: 6,
+  minimumSuspectMilliseconds: 150,
+  failoverFactor: 8,
+  failoverGoals: 2,
+  minimumFailoverMilliseconds: 200,
+};
+/**
+ * A pause between events times out after this multiple of the route's goal for
+ * pauses.
+ */
+const PAUSE_GOAL_FACTOR = 3;
+
+/**
+ * Sets the inactivity timeouts of a request's attempts from observed latencies,
+ * and records how long each answer took to begin.
+ */
+export class AnswerTimeouts {
+  private readonly options: TimeoutOptions;
+  private readonly estimate: AnswerEstimate;
+
+  constructor(
+    private readonly context: RequestContext,
+    private readonly dataCenters: DataCenterTrust,
+    private readonly clock: Clock,
+    private readonly link: HostLink,
+  ) {
+    const isStream = context.route.kind === RouteKind.Streaming;
+    this.options = isStream ? STREAM_TIMEOUTS : BUFFERED_ANSWER_TIMEOUTS;
+    this.estimate = isStream
+      ? context.firstEventLatency
+      : context.bufferedAnswerLatency;
+  }
+
+  /**
+   * Starts inactivity timeouts for an exchange. When a data centre is cut
+   * off and packets are dropped, or an engine stops responding, connections do
+   * not end, and without a timeout requests would go there for as long as
+   * callers wait. A request that may be repeated fails over; one that may not
+   * stays, and its timeout still marks the endpoint as suspect.
+   *
+   * @param canFailOver Whether the request may fail over to another endpoint
+   *     after this one.
+   * @param claimFailover Called on a timeout, before the exchange is cancelled;
+   *     returns whether the request can continue at another endpoint now.
+   */
+  startMonitor(
+    endpoint: KnownEndpoint,
+    exchange: EndpointExchange,
+    canFailOver: boolean,
+    claimFailover: () => boolean,
+  ): InactivityMonitor {
+    const suspect = () => {
+      if (exchange.isConnectDelayedByLink) {
+        return;
+      }
+      const now = this.clock.monotonicMilliseconds();
+      const {dataCenter, id} = endpoint.entry;
+      endpoint.trust.fellSilent(now);
+      this.dataCenters.fellSilent(dataCenter, id, now);
+    };
+    return new InactivityMonitor(this.limits(canFailOver), this.clock, {
+      onSuspect: suspect,
+      onTimeout: () => {
+        if (claimFailover()) {
+          exchange.cancel('silent');
+        } else {
+          suspect();
+        }
+      },
+    });
+  }
+
+  /**
+   * Records how long the answer took to begin, or that it did not begin within
+   * the elapsed time.
+   */
+  recordFirstByteTime(monitor: InactivityMonitor): void {
+    if (monitor.timeToFirstByte === undefined) {
+      this.estimate.missed(this.promptSize(), monitor.elapsedMilliseconds);
+    } else {
+      this.estimate.came(this.promptSize(), monitor.timeToFirstByte);
+    }
+  }
+
+  private limits(canFailOver: boolean): InactivityLimits {
+    const {route} = this.context;
+    const pauseMilliseconds = Math.max(
+      this.options.minimumFailoverMilliseconds,
+      PAUSE_GOAL_FACTOR * route.pauseGoalMilliseconds,
+    );
+    return {
+      suspectMilliseconds: this.firstByteTimeout(this.suspectBounds()),
+      failoverMilliseconds: canFailOver
+        ? this.firstByteTimeout(this.failoverBounds())
+        : undefined,
+      betweenEventsMilliseconds:
+        pauseMilliseconds + this.link.delayMilliseconds,
+      canFailOver,
+    };
+  }
+
+  private suspectBounds(): SilenceBounds {
+    const {suspectFactor, minimumSuspectMilliseconds} = this.options;
+    return {
+      expectedFactor: suspectFactor,
+      shortestMilliseconds: minimumSuspectMilliseconds,
+    };
+  }
+
+  private failoverBounds(): SilenceBounds {
+    const {failoverFactor, failoverGoals, minimumFailoverMilliseconds} =
+      this.options;
+    return {
+      expectedFactor: failoverFactor,
+      shortestMilliseconds: Math.max(
+        minimumFailoverMilliseconds,
+        failoverGoals * this.context.route.goalMilliseconds,
+      ),
+    };
+  }
+
+  private firstByteTimeout(bounds: SilenceBounds): number {
+    const limit = this.estimate.limit(this.promptSize(), bounds);
+    return limit + this.link.delayMilliseconds;
+  }
+
+  private promptSize(): PromptSize {
+    const {promptParts, promptTokens} = this.context.caller.headers;
+    return {ownTokens: promptParts.at(-1)?.tokens ?? promptTokens};
+  }
+}
--- a/packages/gateway/src/arrival-queue.ts
+++ b/packages/gateway/src/arrival-queue.ts
@@ -6,135 +6,151 @@
 } from '@wisteriadeal/decisions';
 
 import type {CallerExchange} from './caller-exchange.js';
-import type {LoopWatch} from './loop-watch.js';
+import type {EventLoopMonitor} from './loop-watch.js';
 
-/** A request that was read and not begun. */
-export interface WaitingArrival extends ArrivedRequest {
+/** A request that was read and not started yet. */
+export interface QueuedRequest extends ArrivedRequest {
   readonly caller: CallerExchange;
 }
 
-/** What becomes of requests that were read. */
-export interface ArrivalActions {
-  /** Serves it. */
+/** Callbacks for requests that leave the queue. */
+export interface ArrivalHandlers {
+  /** Serves the request. */
   begin(caller: CallerExchange): void;
-  /** Answers that it was not run. */
-  refuse(refused: RefusedArrival<WaitingArrival>): void;
-  /** Its caller has gone. */
-  left(caller: CallerExchange): void;
+  /** Replies that the request was not run. */
+  refuse(refused: RefusedArrival<QueuedRequest>): void;
+  /** The caller has disconnected. */
+  callerLeft(caller: CallerExchange): void;
 }
 
 /**
- * Holds requests that were read until a close that stands behind them would have shown,
- * and then begins or refuses them. A caller that has left by then costs no more than
- * reading its request.
+ * Holds requests until a connection close queued behind them would have been
+ * read, and then starts or refuses them. A caller that has already left costs
+ * no more than reading its request.
  */
 export class ArrivalQueue {
-  private waiting: WaitingArrival[] = [];
+  private waiting: QueuedRequest[] = [];
   private readonly unanswered = new Set<CallerExchange>();
-  private hasConnected = false;
-  /** The last turn of the loop in which no connection came. */
-  private unhiddenAt: number;
-  private isTurning = false;
+  private hasAcceptedConnection = false;
+  /**
+   * End of the last event loop turn without an accepted connection, on the
+   * monotonic clock in milliseconds.
+   */
+  private lastTurnWithoutAcceptAt: number;
+  private isTurnScheduled = false;
 
   constructor(
     private readonly admission: ArrivalAdmission,
-    private readonly watch: LoopWatch,
+    private readonly loopMonitor: EventLoopMonitor,
     private readonly now: () => number,
-    private readonly actions: ArrivalActions,
+    private readonly handlers: ArrivalHandlers,
   ) {
-    this.unhiddenAt = now();
+    this.lastTurnWithoutAcceptAt = now();
   }
 
-  /** A connection was accepted in this turn. */
-  connected(): void {
-    this.hasConnected = true;
+  /** Records that a connection was accepted in this turn. */
+  connectionAccepted(): void {
+    this.hasAcceptedConnection = true;
   }
 
-  /** A request has ended, in whatever way. */
-  ended(caller: CallerExchange): void {
+  /** Records that a request has ended, with or without an answer. */
+  requestEnded(caller: CallerExchange): void {
     this.unanswered.delete(caller);
   }
 
-  /** A turn of the loop has ended. */
-  turned(): void {
-    if (!this.hasConnected) {
-      this.unhiddenAt = this.now();
+  /** Records the end of an event loop turn. */
+  turnEnded(): void {
+    if (!this.hasAcceptedConnection) {
+      this.lastTurnWithoutAcceptAt = this.now();
     }
-    this.hasConnected = false;
+    this.hasAcceptedConnection = false;
   }
 
   /**
-   * A request was read.
+   * Adds a request that was read.
    *
-   * @param isFirst Whether it came on a new connection: that may have waited unseen
-   *     since the last turn of the loop in which none came.
+   * @param isFirst Whether the request is the first on its connection, which
+   *     may have waited to be accepted since the last turn without an accepted
+   *     connection.
    */
-  add(arrival: WaitingArrival, isFirst: boolean): void {
-    const longest = isFirst ? this.hiddenMilliseconds() : 0;
-    const hidden = Math.min(longest, arrival.objectiveMilliseconds) / 2;
-    this.waiting.push({...arrival, cameAt: arrival.cameAt - hidden});
-    this.turnLater();
+  add(arrival: QueuedRequest, isFirst: boolean): void {
+    const maximumUnread = isFirst ? this.maximumUnreadMilliseconds() : 0;
+    const unreadMilliseconds =
+      Math.min(maximumUnread, arrival.objectiveMilliseconds) / 2;
+    this.waiting.push({
+      ...arrival,
+      cameAt: arrival.cameAt - unreadMilliseconds,
+    });
+    this.scheduleTurn();
   }
 
-  private turnLater(): void {
-    if (this.isTurning) {
+  private scheduleTurn(): void {
+    if (this.isTurnScheduled) {
       return;
     }
-    this.isTurning = true;
-    this.watch.working();
+    this.isTurnScheduled = true;
+    this.loopMonitor.workScheduled();
     setImmediate(() => {
-      this.isTurning = false;
-      this.turn();
+      this.isTurnScheduled = false;
+      this.processQueue();
     });
   }
 
-  private turn(): void {
-    this.dropLeft();
-    const ready = this.waiting.filter(({caller}) => caller.mayBegin());
+  private processQueue(): void {
+    this.removeDisconnected();
+    const ready = this.waiting.filter(({caller}) => caller.canBegin());
     const plan = this.admission.plan(ready, this.load(), this.now());
     this.waiting = this.waiting.filter(arrival => !ready.includes(arrival));
     for (const arrival of plan.begun) {
       this.begin(arrival);
     }
     for (const refused of plan.refused) {
-      this.actions.refuse(refused);
+      this.handlers.refuse(refused);
     }
     if (this.waiting.length > 0) {
-      this.turnLater();
+      this.scheduleTurn();
     }
   }
 
-  private begin(arrival: WaitingArrival): void {
+  private begin(arrival: QueuedRequest): void {
     const {caller} = arrival;
     this.unanswered.add(caller);
-    caller.whenAnswering(() => {
+    caller.setAnswerListener(() => {
       this.unanswered.delete(caller);
       this.admission.answered(this.load(), this.now());
     });
-    this.actions.begin(caller);
+    this.handlers.begin(caller);
   }
 
-  private dropLeft(): void {
-    const left = this.waiting.filter(({caller}) => caller.leaving.aborted);
+  private removeDisconnected(): void {
+    const left = this.waiting.filter(
+      ({caller}) => caller.disconnectSignal.aborted,
+    );
     if (left.length === 0) {
       return;
     }
     this.waiting = this.waiting.filter(arrival => !left.includes(arrival));
     for (const {caller} of left) {
-      this.actions.left(caller);
+      this.handlers.callerLeft(caller);
     }
   }
 
   private load(): LoopLoad {
     return {
-      busyMilliseconds: this.watch.reading.busyMilliseconds,
+      busyMilliseconds: this.loopMonitor.reading.busyMilliseconds,
       unanswered: this.unanswered.size,
     };
   }
 
-  /** Nothing is left in the sockets when the loop pauses. */
-  private hiddenMilliseconds(): number {
-    const {busyMilliseconds} = this.watch.reading;
-    return Math.min(busyMilliseconds, this.now() - this.unhiddenAt);
+  /**
+   * Upper bound on how long a new connection may have waited, milliseconds. An
+   * idle loop has read all that its sockets held.
+   */
+  private maximumUnreadMilliseconds(): number {
+    const {busyMilliseconds} = this.loopMonitor.reading;
+    return Math.min(
+      busyMilliseconds,
+      this.now() - this.lastTurnWithoutAcceptAt,
+    );
   }
 }
--- a/packages/gateway/src/caller-connections.ts
+++ b/packages/gateway/src/caller-connections.ts
@@ -1,37 +1,48 @@
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** What callers' connections are in the middle of. */
+/** Counts of callers' connections and of the requests and answers on them. */
 export interface ConnectionCounts {
   /** Connections that are open. */
   readonly connections: number;
-  /** Of those, the ones with a part of a request's head. */
+  /** Of those, the connections on which part of a request head was read. */
   readonly begunRequests: number;
   /** Requests whose answer has not ended. */
   readonly runningRequests: number;
-  /** Answers that have ended and are not yet wholly with the system. */
+  /**
+   * Ended answers whose bytes have not all been handed to the operating system.
+   */
   readonly unsentAnswers: number;
 }
 
 /**
- * A caller that opens a connection sends its request at once. Harm of less: it is
- * reset with its request on the way.
+ * How long a draining server waits for the first request on a new connection.
+ * Callers send it as soon as they connect; with a shorter wait the connection
+ * is reset while the request is on its way.
  */
-const FIRST_REQUEST_MILLISECONDS = 500;
-/** The rest of a head that has begun may take so long while its connection drains. */
-const HEAD_MILLISECONDS = 1_000;
-const HEAD_TOO_LATE =
+const FIRST_REQUEST_TIMEOUT_MILLISECONDS = 500;
+/**
+ * How long a draining connection waits for the rest of a partial request head.
+ */
+const HEAD_TIMEOUT_MILLISECONDS = 1_000;
+const REQUEST_TIMEOUT_RESPONSE =
   'HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
 
-/** One connection; callers send no second request before the first is answered. */
+/**
+ * One caller's connection. Callers do not pipeline: they send no second request
+ * before the first is answered.
+ */
 class CallerConnection {
   readonly answers = new Set<ServerResponse>();
   private readonly openedAt = performance.now();
   private isDraining = false;
-  private isRefused = false;
+  private hasTimedOut = false;
   private timer: NodeJS.Timeout | undefined;
-  /** What had been read when the last request was over; undefined before the first. */
-  private settledBytes: number | undefined;
+  /**
+   * Bytes read from the socket when the last answer closed; undefined before
+   * the first.
+   */
+  private bytesReadAtLastAnswer: number | undefined;
 
   constructor(readonly socket: Socket) {
     socket.once('close', () => {
@@ -39,81 +50,97 @@
     });
   }
 
-  /** @returns False where no answer to it can be sent: it must not be served. */
+  /**
+   * @returns False if no answer can be sent on this connection, so that the
+   *     request must not be served.
+   */
   add(response: ServerResponse): boolean {
-    const endsBefore = [...this.answers].some(
+    const closesBefore = [...this.answers].some(
       ({shouldKeepAlive}) => !shouldKeepAlive,
     );
-    if (this.isRefused || endsBefore) {
+    if (this.hasTimedOut || closesBefore) {
       return false;
     }
     clearTimeout(this.timer);
     this.answers.add(response);
     response.once('close', () => {
       this.answers.delete(response);
-      this.settledBytes = this.socket.bytesRead;
-      this.endIfQuiet();
+      this.bytesReadAtLastAnswer = this.socket.bytesRead;
+      this.closeIfIdle();
     });
     return true;
   }
 
-  /** Whether a part of a request's head was read, and not all of it. */
-  get hasBegun(): boolean {
-    const settled = this.settledBytes ?? 0;
-    return this.answers.size === 0 && this.socket.bytesRead > settled;
+  /** Whether a request head was read in part but not completely. */
+  get hasPartialHead(): boolean {
+    const bytesBefore = this.bytesReadAtLastAnswer ?? 0;
+    return this.answers.size === 0 && this.socket.bytesRead > bytesBefore;
   }
 
-  /** Its last answer says that the connection ends, if it says nothing yet. */
-  announceEnd(): void {
+  /**
+   * Makes the last answer announce that the connection closes, if its headers
+   * were not sent yet.
+   */
+  announceClose(): void {
     const last = [...this.answers].at(-1);
     if (last?.headersSent === false) {
       last.shouldKeepAlive = false;
     }
   }
 
-  /** Ends it as soon as nothing of a request or an answer is on it. */
+  /**
+   * Closes the connection as soon as no request or answer is in progress on it.
+   */
   drain(): void {
     this.isDraining = true;
-    this.endIfQuiet();
+    this.closeIfIdle();
   }
 
-  private endIfQuiet(): void {
+  private closeIfIdle(): void {
     if (!this.isDraining || this.answers.size > 0) {
       return;
     }
-    const firstEndsAt = this.openedAt + FIRST_REQUEST_MILLISECONDS;
-    const waitsForFirst = firstEndsAt - performance.now();
-    if (this.hasBegun) {
-      this.after(HEAD_MILLISECONDS, () => {
-        this.refuse();
+    const firstTimeoutAt = this.openedAt + FIRST_REQUEST_TIMEOUT_MILLISECONDS;
+    const firstRequestMillisecondsLeft = firstTimeoutAt - performance.now();
+    if (this.hasPartialHead) {
+      this.schedule(HEAD_TIMEOUT_MILLISECONDS, () => {
+        this.rejectLateHead();
       });
-    } else if (this.settledBytes === undefined && waitsForFirst > 0) {
-      this.after(waitsForFirst, () => {
-        this.endIfQuiet();
+    } else if (
+      this.bytesReadAtLastAnswer === undefined &&
+      firstRequestMillisecondsLeft > 0
+    ) {
+      this.schedule(firstRequestMillisecondsLeft, () => {
+        this.closeIfIdle();
       });
     } else {
       this.socket.destroy();
     }
   }
 
-  /** Nobody has seen the request: it has not run. */
-  private refuse(): void {
-    this.isRefused = true;
-    this.socket.end(HEAD_TOO_LATE, () => {
+  /**
+   * Answers 408 to an incomplete request head; that request was never served.
+   */
+  private rejectLateHead(): void {
+    this.hasTimedOut = true;
+    this.socket.end(REQUEST_TIMEOUT_RESPONSE, () => {
       this.socket.destroy();
     });
   }
 
-  private after(milliseconds: number, call: () => void): void {
+  private schedule(milliseconds: number, call: () => void): void {
     clearTimeout(this.timer);
     this.timer = setTimeout(call, milliseconds);
   }
 }
 
-/** Knows what each caller's connection is in the middle of, and ends them in order. */
+/**
+ * Tracks what is in progress on each caller's connection, and drains the
+ * connections.
+ */
 export class CallerConnections {
   private readonly open = new Map<Socket, CallerConnection>();
-  private onNone: (() => void) | undefined;
+  private onAllClosed: (() => void) | undefined;
 
   constructor(server: Server) {
     server.on('connection', socket => {
@@ -125,31 +152,33 @@
   }
 
   /**
-   * A request's head has ended.
+   * Registers a request whose head is complete.
    *
-   * @returns False where the caller was told that it came too late, or that the
-   *     connection ends with an answer before: the request must not be served.
+   * @returns False if the caller was already told that the request came too
+   *     late, or that an earlier answer closes the connection; the request must
+   *     not be served.
    */
   begin(request: IncomingMessage, response: ServerResponse): boolean {
     return this.open.get(request.socket)?.add(response) ?? false;
   }
 
   /**
-   * Whether a connection can end with this answer: nothing else is on it. Another
-   * request on it would get no answer, and a body that still comes resets the
-   * connection before the caller has read the answer.
+   * Whether the connection can close after this answer, which must be the only
+   * thing in progress on it. Another request on it would get no answer, and a
+   * body that is still being received would reset the connection before the
+   * caller has read the answer.
    *
    * @example
    * ```ts
-   * response.shouldKeepAlive = !connections.mayEndWith(request, response);
+   * response.shouldKeepAlive = !connections.canCloseAfter(request, response);
    * ```
    */
-  mayEndWith(request: IncomingMessage, response: ServerResponse): boolean {
+  canCloseAfter(request: IncomingMessage, response: ServerResponse): boolean {
     const answers = this.open.get(request.socket)?.answers;
     return request.complete && answers?.size === 1 && answers.has(response);
   }
 
-  /** What they are in the middle of now. */
+  /** Current counts. */
   get counts(): ConnectionCounts {
     const connections = [...this.open.values()];
     const answers = connections.flatMap(({answers}) => [...answers]);
@@ -158,24 +187,25 @@
     ).length;
     return {
       connections: connections.length,
-      begunRequests: connections.filter(({hasBegun}) => hasBegun).length,
+      begunRequests: connections.filter(({hasPartialHead}) => hasPartialHead)
+        .length,
       runningRequests: answers.length - unsentAnswers,
       unsentAnswers,
     };
   }
 
-  /** Callers that wait for an answer are told with it to use another connection. */
-  announceEnd(): void {
+  /** Makes pending answers tell their callers to use another connection. */
+  announceClose(): void {
     for (const connection of this.open.values()) {
-      connection.announceEnd();
+      connection.announceClose();
     }
   }
 
   /**
-   * Ends each connection as soon as nothing of a request or an answer is on it. New
-   * ones must not come any more.
+   * Closes each connection as soon as no request or answer is in progress on
+   * it. The server must not accept new connections any more.
    *
-   * @returns Resolves when there is none left.
+   * @returns Resolves when all connections are closed.
    */
   async drain(): Promise<void> {
     for (const connection of this.open.values()) {
@@ -183,7 +213,7 @@
     }
     if (this.open.size > 0) {
       await new Promise<void>(resolve => {
-        this.onNone = resolve;
+        this.onAllClosed = resolve;
       });
     }
   }
@@ -191,7 +221,7 @@
   private remove(socket: Socket): void {
     this.open.delete(socket);
     if (this.open.size === 0) {
-      this.onNone?.();
+      this.onAllClosed?.();
     }
   }
 }
--- a/packages/gateway/src/caller-exchange.ts
+++ b/packages/gateway/src/caller-exchange.ts
@@ -1,36 +1,43 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import type {CallerHeaders, Dialect} from './dialect.js';
-import {turnOfEventLoop} from './event-loop.js';
+import {nextEventLoopTurn} from './event-loop.js';
 import type {OwnAnswer} from './own-answer.js';
 
-/** Two spaces, `HTTP/1.1` and a line end. */
-const LINE_BYTES = 12;
-/** A colon and a space behind a name; a line end behind a value. */
-const SEPARATOR_BYTES = 2;
+/** Two spaces, `HTTP/1.1` and a line end of the request line. */
+const REQUEST_LINE_OVERHEAD_BYTES = 12;
+/**
+ * The colon and space after a header name, and the line end after its value.
+ */
+const HEADER_SEPARATOR_BYTES = 2;
 
-/** Turns of the event loop after which a close behind a request has been read. */
-const CLOSE_TURNS = 2;
+/**
+ * Event loop turns after which a connection close that follows a request has
+ * been read.
+ */
+const CLOSE_DETECTION_TURNS = 2;
 
-/** The caller sent a longer body than the limits allow. */
+/** Thrown when a caller's body exceeds the limit. */
 export class BodyTooLargeError extends Error {
   override readonly name: string = 'BodyTooLargeError';
 }
 
-/** One request of a caller and the way back to it. */
+/** One request of a caller, and the means to answer it. */
 export class CallerExchange {
-  private readonly left = new AbortController();
+  private readonly disconnect = new AbortController();
   private parsed: CallerHeaders | undefined;
   private turnsSinceRead = 0;
   private onAnswering: () => void = () => undefined;
   private onClosed: () => void = () => undefined;
 
   /**
-   * @param arrivedAt On this process's monotonic clock, milliseconds.
-   * @param unseenMilliseconds How long it is likely to have waited before that.
-   * @param endsConnection Whether the connection ends with the answer; asked when the
-   *     answer begins.
-   * @param isFirst Whether no request came on its connection before it.
+   * @param arrivedAt When the request was read, on this process's monotonic
+   *     clock, milliseconds.
+   * @param unseenMilliseconds Estimated time that the request waited in its
+   *     socket before that.
+   * @param shouldCloseConnection Whether the connection closes after the
+   *     answer; called when the answer begins.
+   * @param isFirst Whether this is the first request on its connection.
    */
   constructor(
     private readonly dialect: Dialect,
@@ -38,19 +45,19 @@
     private readonly response: ServerResponse,
     readonly arrivedAt: number,
     readonly unseenMilliseconds: number,
-    private readonly endsConnection: () => boolean = () => false,
+    private readonly shouldCloseConnection: () => boolean = () => false,
     readonly isFirst = false,
   ) {
     response.sendDate = false;
     response.on('error', () => {
-      // A write that comes after the caller has gone; without a listener it would
-      // end the process.
-      this.left.abort();
+      // A write after the caller has disconnected fails here; without a
+      // listener the error would end the process.
+      this.disconnect.abort();
     });
     const {socket} = request;
     const onEnd = () => {
-      // The response closes some turns of the event loop later.
-      this.left.abort();
+      // The response only closes some event loop turns after the socket's end.
+      this.disconnect.abort();
     };
     let isOpen = true;
     const onClose = () => {
@@ -61,12 +68,13 @@
       socket.off('end', onEnd);
       socket.off('close', onClose);
       if (!response.writableFinished) {
-        this.left.abort();
+        this.disconnect.abort();
       }
       this.onClosed();
     };
     socket.once('end', onEnd);
-    // A response that waits behind another on its connection does not close with it.
+    // A response queued behind another one on its connection does not close
+    // with the connection.
     socket.once('close', onClose);
     response.once('close', onClose);
   }
@@ -76,13 +84,15 @@
     return this.parsed;
   }
 
-  /** Part of the target before the query. */
+  /** The request target without the query. */
   get path(): string {
     return this.target.split('?', 1)[0] ?? '';
   }
 
-  /** When its first byte came, as far as is known, on the monotonic clock. */
-  get cameAt(): number {
+  /**
+   * Estimated arrival of the first byte, on the monotonic clock, milliseconds.
+   */
+  get estimatedArrivalAt(): number {
     return this.arrivedAt - this.unseenMilliseconds;
   }
 
@@ -90,7 +100,7 @@
     return this.request.method ?? 'GET';
   }
 
-  /** Path and query as they came. */
+  /** Path and query as received. */
   get target(): string {
     return this.request.url ?? '/';
   }
@@ -99,69 +109,80 @@
     return this.request.rawHeaders;
   }
 
-  /** Bytes of the request's line and headers, as the protocol spells them. */
+  /** Size of the request line and headers as sent in HTTP/1.1. */
   get headerBytes(): number {
-    const line = this.method.length + this.target.length + LINE_BYTES;
+    const line =
+      this.method.length + this.target.length + REQUEST_LINE_OVERHEAD_BYTES;
     return this.rawHeaders.reduce(
-      (sum, text) => sum + Buffer.byteLength(text, 'latin1') + SEPARATOR_BYTES,
+      (sum, text) =>
+        sum + Buffer.byteLength(text, 'latin1') + HEADER_SEPARATOR_BYTES,
       line,
     );
   }
 
-  /** Aborted when the caller leaves before its answer is whole. */
-  get leaving(): AbortSignal {
-    return this.left.signal;
+  /** Aborted when the caller disconnects before its answer is complete. */
+  get disconnectSignal(): AbortSignal {
+    return this.disconnect.signal;
   }
 
-  /** Calls the listener, in place of one before it, when an answer begins. */
-  whenAnswering(listener: () => void): void {
+  /**
+   * Sets the listener that is called when an answer begins, replacing any
+   * earlier one.
+   */
+  setAnswerListener(listener: () => void): void {
     this.onAnswering = listener;
   }
 
-  /** Calls the listener, in place of one before it, when no more can be sent to it. */
-  whenClosed(listener: () => void): void {
+  /**
+   * Sets the listener that is called when nothing more can be sent to the
+   * caller, replacing any earlier one.
+   */
+  setCloseListener(listener: () => void): void {
     this.onClosed = listener;
   }
 
-  /** True once any byte of an answer was given to the connection. */
+  /** Whether any byte of an answer was written to the connection. */
   get isAnswering(): boolean {
     return this.response.headersSent;
   }
 
   /**
-   * Lets a close be read that stands behind the request. Load: callers of one
-   * organisation send six times their usual to a host, which reads requests over a
-   * second late. Harm without it: requests go to endpoints after their callers have
-   * given up, and keep the host busy for nothing.
+   * Waits until a connection close that follows the request has been read. When
+   * the callers of one organisation send six times their usual load to a host,
+   * it reads requests more than a second late. Without this wait, requests
+   * would go to endpoints after their callers have given up, and keep the host
+   * busy for nothing.
    *
-   * The system tells of a close in the turn of the event loop after the one that
-   * read the request; the second turn from here comes after it.
+   * The operating system reports a close in the event loop turn after the one
+   * that read the request; the second turn from here comes after it.
    */
-  async closeSeen(): Promise<void> {
-    while (this.turnsSinceRead < CLOSE_TURNS) {
-      await turnOfEventLoop();
+  async waitForCloseDetection(): Promise<void> {
+    while (this.turnsSinceRead < CLOSE_DETECTION_TURNS) {
+      await nextEventLoopTurn();
       this.turnsSinceRead++;
     }
   }
 
   /**
-   * Whether it may be begun without missing a close that stands behind it; to be asked
-   * once in each turn of the event loop. Behind a body that still comes, the close is
-   * waited for when the body has been read.
+   * Whether the request can start without missing a connection close that
+   * follows it; must be called once in each event loop turn. For a request
+   * whose body is still being received, the close is awaited after the body has
+   * been read.
    */
-  mayBegin(): boolean {
+  canBegin(): boolean {
     if (!this.request.complete) {
       return true;
     }
     this.turnsSinceRead++;
-    return this.turnsSinceRead >= CLOSE_TURNS;
+    return this.turnsSinceRead >= CLOSE_DETECTION_TURNS;
   }
 
   /**
-   * Reads the whole body.
+   * Reads the complete body.
    *
-   * @returns Undefined where the request has none, as told by its framing.
-   * @throws BodyTooLargeError
+   * @returns Undefined if the request has no body according to its framing
+   *     headers.
+   * @throws BodyTooLargeError if the body is longer than `limitBytes`.
    */
   async readBody(limitBytes: number): Promise<Buffer | undefined> {
     const {headers} = this.request;
@@ -183,21 +204,24 @@
     return Buffer.concat(chunks);
   }
 
-  /** Tells the caller to use the connection for nothing more. */
-  closeAfterwards(): void {
+  /**
+   * Closes the connection after this answer, and announces that in its headers.
+   */
+  disableKeepAlive(): void {
     this.response.shouldKeepAlive = false;
   }
 
-  /** Answers with a whole body. */
+  /** Sends an answer with a complete body and its length. */
   answer(status: number, headers: readonly string[], body: Buffer): void {
     const framed = [...headers, 'Content-Length', String(body.length)];
-    this.begin(status, framed);
+    this.writeHead(status, framed);
     this.response.end(body);
   }
 
   /**
-   * Answers with a body whose end is the connection's end, as the endpoint did. A
-   * length of our own would vouch for a body that may have been cut on the way.
+   * Sends an answer without a length, ended by closing the connection, as the
+   * endpoint did. A length set here would assert that the body is complete,
+   * although it may have been cut on the way.
    */
   answerUntilClose(
     status: number,
@@ -206,13 +230,13 @@
   ): void {
     this.response.useChunkedEncodingByDefault = false;
     this.response.shouldKeepAlive = false;
-    this.begin(status, [...headers]);
+    this.writeHead(status, [...headers]);
     this.response.end(body);
   }
 
-  /** An answer of the system's own, without an endpoint's proof. */
-  answerOwn(own: OwnAnswer): void {
-    const {status, reason, retryAfterMilliseconds} = own;
+  /** Sends a reply that the gateway generates, without an endpoint's proof. */
+  sendLocalReply(reply: OwnAnswer): void {
+    const {status, reason, retryAfterMilliseconds} = reply;
     const headers = ['Content-Type', 'application/problem+json'];
     if (retryAfterMilliseconds !== undefined) {
       headers.push(...this.dialect.retryHeaders(retryAfterMilliseconds));
@@ -221,19 +245,20 @@
     this.answer(status, headers, body);
   }
 
-  /** Begins a stream; its length is not known. */
+  /** Starts a stream of unknown length. */
   beginStream(status: number, headers: readonly string[]): void {
-    this.begin(status, [...headers]);
+    this.writeHead(status, [...headers]);
     this.response.flushHeaders();
   }
 
   /**
    * Writes a part of the stream.
    *
-   * @returns Where the caller does not read: resolves when more may be written.
+   * @returns A promise that resolves when more may be written, if the caller
+   *     reads too slowly; undefined otherwise.
    */
   write(bytes: Buffer): Promise<void> | undefined {
-    if (this.response.write(bytes) || this.left.signal.aborted) {
+    if (this.response.write(bytes) || this.disconnect.signal.aborted) {
       return undefined;
     }
     return new Promise<void>(resolve => {
@@ -247,21 +272,24 @@
     });
   }
 
-  /** Ends a stream that is whole. */
+  /** Ends a complete stream. */
   endStream(): void {
     this.response.end();
   }
 
-  private begin(status: number, headers: string[]): void {
-    if (this.endsConnection()) {
-      this.closeAfterwards();
+  private writeHead(status: number, headers: string[]): void {
+    if (this.shouldCloseConnection()) {
+      this.disableKeepAlive();
     }
     this.response.writeHead(status, headers);
     this.onAnswering();
   }
 
-  /** Breaks the connection off, so that a part can't be taken for the whole. */
-  breakOff(): void {
+  /**
+   * Destroys the connection, so that a partial answer can't be taken for a
+   * complete one.
+   */
+  destroyConnection(): void {
     this.response.destroy();
   }
 }
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -6,7 +6,7 @@
 
 import {ArrivalQueue} from './arrival-queue.js';
 import type {ConnectionCounts} from './caller-connections.js';
-import type {CallerDoor} from './caller-door.js';
+import type {CallerDoor} from './caller-listener.js';
 import {CallerExchange} from './caller-exchange.js';
 import type {CallerLimits} from './configuration.js';
 import type {Dialect} from './dialect.js';
@@ -14,24 +14,24 @@
 import type {HostRotation} from './host-rotation.js';
 import type {ListenAddress} from './listening.js';
 import {LoadReport} from './load-report.js';
-import {LoopWatch} from './loop-watch.js';
+import {EventLoopMonitor} from './loop-watch.js';
 import type {RequestHandler} from './request-handler.js';
 import type {StartGate} from './start-gate.js';
 
-/** Serves the callers that come through the door. */
+/** Serves callers' requests and controls their connections. */
 export class CallerServer {
   private isStopping = false;
-  private open = 0;
-  private accepted = 0;
+  private openCount = 0;
+  private acceptedCount = 0;
   private onIdle: (() => void) | undefined;
   private readonly report: LoadReport;
-  private readonly watch: LoopWatch;
+  private readonly loopMonitor: EventLoopMonitor;
   private readonly arrivals: ArrivalQueue;
-  /** Connections that no request came on yet. */
-  private readonly unread = new WeakSet<Socket>();
+  /** Connections on which no request has been read yet. */
+  private readonly socketsWithoutRequest = new WeakSet<Socket>();
 
   constructor(
-    private readonly door: CallerDoor,
+    private readonly listener: CallerDoor,
     private readonly dialect: Dialect,
     private readonly handler: RequestHandler,
     private readonly gate: StartGate,
@@ -41,89 +41,89 @@
     private readonly events: EventLog,
   ) {
     this.report = new LoadReport(events);
-    this.watch = new LoopWatch(
+    this.loopMonitor = new EventLoopMonitor(
       () => clock.monotonicMilliseconds(),
       () => performance.nodeTiming.idleTime,
       milliseconds => {
-        this.metrics.turn(milliseconds);
-        this.report.turned(milliseconds);
-        this.arrivals.turned();
+        this.metrics.observeLoopTurn(milliseconds);
+        this.report.turnEnded(milliseconds);
+        this.arrivals.turnEnded();
       },
     );
     this.arrivals = new ArrivalQueue(
       new BeginWithinLimit(),
-      this.watch,
+      this.loopMonitor,
       () => clock.monotonicMilliseconds(),
       {
         begin: caller => {
           void this.handler.handle(caller, this.report);
         },
         refuse: ({request: {caller}, retryAfterMilliseconds}) => {
-          this.handler.refuseUnbegun(
+          this.handler.refuseBeforeStart(
             caller,
             this.report,
             retryAfterMilliseconds,
           );
         },
-        left: caller => {
-          this.handler.leftUnbegun(caller, this.report);
+        callerLeft: caller => {
+          this.handler.callerLeftBeforeStart(caller, this.report);
         },
       },
     );
   }
 
-  /** Requests that have not ended. */
+  /** Number of requests that have not ended. */
   get openRequests(): number {
-    return this.open;
+    return this.openCount;
   }
 
-  /** Connections that callers have opened since the start. */
+  /** Number of connections accepted since the start. */
   get acceptedConnections(): number {
-    return this.accepted;
+    return this.acceptedCount;
   }
 
-  /** What callers' connections are in the middle of. */
+  /** Counts of callers' connections and of the requests and answers on them. */
   get connectionCounts(): ConnectionCounts {
-    return this.door.connections.counts;
+    return this.listener.connections.counts;
   }
 
-  /** @throws The system's error where the address can't be taken. */
-  async listen(at: ListenAddress): Promise<void> {
-    await this.door.listen(at);
-    this.door.server.on('connection', socket => {
-      this.unread.add(socket);
-      this.accepted++;
-      this.watch.connected();
-      this.arrivals.connected();
-      this.report.connected();
+  /** @throws The system's error if the address can't be bound. */
+  async listen(address: ListenAddress): Promise<void> {
+    await this.listener.listen(address);
+    this.listener.server.on('connection', socket => {
+      this.socketsWithoutRequest.add(socket);
+      this.acceptedCount++;
+      this.loopMonitor.connectionAccepted();
+      this.arrivals.connectionAccepted();
+      this.report.connectionAccepted();
       this.metrics.callerConnected();
     });
-    this.door.openTo((request, response, arrivedAt) => {
+    this.listener.serveWith((request, response, arrivedAt) => {
       this.serve(request, response, arrivedAt);
     });
-    this.events.info('listening for callers', {...at});
+    this.events.info('listening for callers', {...address});
   }
 
-  /** Port that was taken. */
+  /** The bound port. */
   get port(): number {
-    return this.door.port;
+    return this.listener.port;
   }
 
-  /** Takes the limits of a configuration; they hold for open connections too. */
-  limit(limits: CallerLimits): void {
-    this.door.server.headersTimeout = limits.headerMilliseconds;
-    this.door.server.keepAliveTimeout = limits.idleMilliseconds;
+  /** Applies the limits of a configuration, also to open connections. */
+  applyLimits(limits: CallerLimits): void {
+    this.listener.server.headersTimeout = limits.headerMilliseconds;
+    this.listener.server.keepAliveTimeout = limits.idleMilliseconds;
   }
 
-  /** Answers say from now on that the connection ends. */
+  /** Makes answers announce from now on that their connection closes. */
   beginStop(): void {
     this.isStopping = true;
-    this.door.connections.announceEnd();
+    this.listener.connections.announceClose();
   }
 
-  /** Resolves when no request is open; new ones are still taken. */
+  /** Resolves when no request is open; new requests are still accepted. */
   async idle(): Promise<void> {
-    if (this.open > 0) {
+    if (this.openCount > 0) {
       await new Promise<void>(resolve => {
         this.onIdle = resolve;
       });
@@ -131,17 +131,18 @@
   }
 
   /**
-   * Takes no new connections, and ends each as soon as nothing is on it.
+   * Stops accepting connections, and closes each one as soon as nothing is in
+   * progress on it.
    *
-   * @returns Resolves when there is none left.
+   * @returns Resolves when all connections are closed.
    */
   drain(): Promise<void> {
-    return this.door.drain();
+    return this.listener.drain();
   }
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately. */
   close(): void {
-    this.door.close();
+    this.listener.close();
   }
 
   private serve(
@@ -149,9 +150,9 @@
     response: ServerResponse,
     arrivedAt: number,
   ): void {
-    const unseenMilliseconds = this.watch.requested();
-    this.noteSeen(unseenMilliseconds);
-    const isFirst = this.unread.delete(request.socket);
+    const unseenMilliseconds = this.loopMonitor.requestRead();
+    this.recordArrival(unseenMilliseconds);
+    const isFirst = this.socketsWithoutRequest.delete(request.socket);
     const caller = new CallerExchange(
       this.dialect,
       request,
@@ -160,46 +161,49 @@
       unseenMilliseconds,
       () =>
         this.rotation.endsConnections &&
-        this.door.connections.mayEndWith(request, response),
+        this.listener.connections.canCloseAfter(request, response),
       isFirst,
     );
     if (this.isStopping) {
-      caller.closeAfterwards();
+      caller.disableKeepAlive();
     }
-    this.open++;
-    caller.whenClosed(() => {
-      this.arrivals.ended(caller);
-      this.ended();
+    this.openCount++;
+    caller.setCloseListener(() => {
+      this.arrivals.requestEnded(caller);
+      this.requestEnded();
     });
     if (this.gate.isOpen) {
-      this.arrive(caller, isFirst);
+      this.enqueue(caller, isFirst);
     } else {
-      void this.gate.passed().then(() => {
-        this.arrive(caller, isFirst);
+      void this.gate.whenOpen().then(() => {
+        this.enqueue(caller, isFirst);
       });
     }
   }
 
-  private arrive(caller: CallerExchange, isFirst: boolean): void {
-    const expected = this.handler.expectationOf(caller);
-    if (expected === undefined) {
+  private enqueue(caller: CallerExchange, isFirst: boolean): void {
+    const deadlines = this.handler.answerDeadlines(caller);
+    if (deadlines === undefined) {
       void this.handler.handle(caller, this.report);
       return;
     }
-    const {cameAt} = caller;
-    this.arrivals.add({caller, cameAt, ...expected}, isFirst);
+    const {estimatedArrivalAt} = caller;
+    this.arrivals.add(
+      {caller, cameAt: estimatedArrivalAt, ...deadlines},
+      isFirst,
+    );
   }
 
-  private noteSeen(unseenMilliseconds: number): void {
-    this.metrics.requestSeen(unseenMilliseconds);
-    this.report.requested(unseenMilliseconds);
+  private recordArrival(unseenMilliseconds: number): void {
+    this.metrics.observeUnreadWait(unseenMilliseconds);
+    this.report.requestRead(unseenMilliseconds);
     const now = this.clock.monotonicMilliseconds();
-    this.report.tell(now, this.open, this.watch.reading);
+    this.report.logIfDue(now, this.openCount, this.loopMonitor.reading);
   }
 
-  private ended(): void {
-    this.open--;
-    if (this.open === 0) {
+  private requestEnded(): void {
+    this.openCount--;
+    if (this.openCount === 0) {
       this.onIdle?.();
     }
   }
--- /dev/null
+++ b/packages/gateway/src/endpoint-connection-pool.ts
@@ -0,0 +1,183 @@
+import {FreeLink, type HostLink} from '@wisteriadeal/platform';
+import {Agent, type AgentOptions, type ClientRequest} from 'node:http';
+import type {Socket} from 'node:net';
+
+/**
+ * Maximum idle time of a pooled connection that is used for a request that may
+ * run only once. Endpoints close idle connections, some without notice, and a
+ * request that crosses the close may or may not have run.
+ */
+export const MAXIMUM_SAFE_IDLE_MILLISECONDS = 4_000;
+/**
+ * Fraction of the idle timeout stated by an endpoint after which a connection
+ * is closed, so that a request still gets there before the timeout.
+ */
+const IDLE_TIMEOUT_FACTOR = 0.8;
+/**
+ * Maximum idle time of a pooled connection, regardless of the timeout that its
+ * endpoint states.
+ */
+const MAXIMUM_IDLE_MILLISECONDS = 15_000;
+const KEEP_ALIVE_TIMEOUT_PATTERN = /(?:^|[ ,])timeout=(\d+)/;
+
+/**
+ * Connect timeout, after which the request goes to another endpoint; this is
+ * safe, as nothing was sent. Data centres are less than 2 ms apart and a
+ * handshake takes 1 ms.
+ */
+const CONNECT_TIMEOUT_MILLISECONDS = 120;
+/**
+ * Upper limit of the connect timeout, however congested the host's link is.
+ * After a longer wait the endpoint may have been listed as leaving, and the
+ * request's remaining time is shorter than the value sent with it.
+ */
+const MAXIMUM_CONNECT_TIMEOUT_MILLISECONDS = 400;
+/** Number of recent connects that the moving average reflects. */
+const CONNECT_MEAN_SAMPLES = 16;
+
+/** Network address of an endpoint. */
+export interface EndpointAddress {
+  readonly address: string;
+  readonly port: number;
+}
+
+/**
+ * Listeners and timer that close an idle connection; removed when it is reused.
+ */
+interface IdleGuard {
+  readonly idleSince: number;
+  readonly onData: () => void;
+  readonly onClose: () => void;
+  readonly timer: NodeJS.Timeout;
+}
+
+/**
+ * Keep-alive connections to endpoints. A connection on which data arrives while
+ * it is idle is closed: the bytes belong to no request and would be taken for
+ * the answer to the next one.
+ */
+export class EndpointConnectionPool extends Agent {
+  private readonly guards = new WeakMap<Socket, IdleGuard>();
+  private meanConnectMilliseconds = 0;
+  private readonly idleLimits = new WeakMap<Socket, number>();
+
+  /** @param link This host's link; connects take longer while it is full. */
+  constructor(
+    private readonly link: HostLink = new FreeLink(),
+    options: AgentOptions = {},
+  ) {
+    super({keepAlive: true, scheduling: 'lifo', noDelay: true, ...options});
+  }
+
+  /**
+   * Closes idle connections to an endpoint that may be unreachable, so that the
+   * next request opens a new one. If that connect fails, nothing was sent and
+   * any request may go to another endpoint; on a pooled connection it would
+   * hang, and might have run.
+   *
+   * @param minimumIdleMilliseconds Connections that were idle for less time are
+   *     kept.
+   */
+  closeIdle(
+    {address, port}: EndpointAddress,
+    minimumIdleMilliseconds = 0,
+  ): void {
+    const idle = this.freeSockets[this.getName({host: address, port})] ?? [];
+    const before = performance.now() - minimumIdleMilliseconds;
+    for (const socket of [...idle]) {
+      if ((this.guards.get(socket)?.idleSince ?? -Infinity) <= before) {
+        socket.destroy();
+      }
+    }
+  }
+
+  /**
+   * Records the idle timeout that an endpoint states for a connection.
+   *
+   * @param keepAlive The answer's `Keep-Alive` header; empty if there is none.
+   */
+  recordKeepAlive(socket: Socket, keepAlive: string): void {
+    const seconds = KEEP_ALIVE_TIMEOUT_PATTERN.exec(keepAlive)?.[1];
+    if (seconds !== undefined) {
+      const limit = Number(seconds) * 1_000 * IDLE_TIMEOUT_FACTOR;
+      this.idleLimits.set(socket, Math.min(limit, MAXIMUM_IDLE_MILLISECONDS));
+    }
+  }
+
+  /** Moving average of the time of successful connects, milliseconds. */
+  get connectMilliseconds(): number {
+    return this.meanConnectMilliseconds;
+  }
+
+  /** Records the duration of a successful connect. */
+  recordConnect(milliseconds: number): void {
+    this.link.connected(milliseconds);
+    this.link.arrived(milliseconds);
+    this.meanConnectMilliseconds +=
+      (milliseconds - this.meanConnectMilliseconds) / CONNECT_MEAN_SAMPLES;
+  }
+
+  /** Current connect timeout, milliseconds. */
+  get connectTimeoutMilliseconds(): number {
+    return Math.min(
+      MAXIMUM_CONNECT_TIMEOUT_MILLISECONDS,
+      CONNECT_TIMEOUT_MILLISECONDS + this.link.delayMilliseconds,
+    );
+  }
+
+  /** Whether connects are currently delayed by this host's own link. */
+  get isLinkLate(): boolean {
+    return this.link.isLate;
+  }
+
+  /** Records how long a connect had been pending when it was abandoned. */
+  recordAbandonedConnect(milliseconds: number): void {
+    this.link.connected(milliseconds);
+    this.link.expired(milliseconds);
+  }
+
+  override keepSocketAlive(socket: Socket): boolean {
+    if (!baseKeepSocketAlive(this, socket)) {
+      return false;
+    }
+    const onData = () => {
+      socket.destroy();
+    };
+    const timer = setTimeout(
+      onData,
+      this.idleLimits.get(socket) ?? MAXIMUM_SAFE_IDLE_MILLISECONDS,
+    );
+    timer.unref();
+    const onClose = () => {
+      clearTimeout(timer);
+    };
+    socket.on('data', onData);
+    socket.once('close', onClose);
+    const idleSince = performance.now();
+    this.guards.set(socket, {idleSince, onData, onClose, timer});
+    return true;
+  }
+
+  override reuseSocket(socket: Socket, request: ClientRequest): void {
+    const guard = this.guards.get(socket);
+    if (guard !== undefined) {
+      clearTimeout(guard.timer);
+      socket.off('data', guard.onData);
+      socket.off('close', guard.onClose);
+      this.guards.delete(socket);
+    }
+    super.reuseSocket(socket, request);
+  }
+}
+
+/**
+ * Calls the base class, which takes the endpoint's `Keep-Alive` header into
+ * account. Its result is missing from the published types.
+ */
+function baseKeepSocketAlive(agent: Agent, socket: Socket): boolean {
+  const decide: unknown = Reflect.get(Agent.prototype, 'keepSocketAlive');
+  return (
+    typeof decide === 'function' &&
+    Reflect.apply(decide, agent, [socket]) === true
+  );
+}
--- a/packages/gateway/src/endpoint-exchange.ts
+++ b/packages/gateway/src/endpoint-exchange.ts
@@ -6,37 +6,37 @@
 } from 'node:http';
 
 import type {Dialect, EndpointAnswerHeaders} from './dialect.js';
-import type {EndpointConnections} from './endpoint-connections.js';
+import type {EndpointConnectionPool} from './endpoint-connection-pool.js';
 import type {EndpointEntry} from './endpoint-entry.js';
 
-/** What is certain of a request that got no answer to pass on. */
-export enum ExchangeFate {
-  /** No connection: nothing was sent. */
+/** What is known about a request that got no answer to forward. */
+export enum FailureKind {
+  /** There was no connection, so nothing was sent. */
   NotSent = 'not-sent',
-  /** The endpoint states that it did not run it. */
+  /** The endpoint states that it did not run the request. */
   NotRun = 'not-run',
-  /** Another endpoint has the address, and did not run it. */
+  /** Another endpoint now has the address, and did not run the request. */
   WrongEndpoint = 'wrong-endpoint',
-  /** It may have run, or run still. */
+  /** The request may have run or may still be running. */
   Unknown = 'unknown',
 }
 
-/** An endpoint's answer up to its headers. */
+/** Status and headers of an endpoint's answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
-  readonly said: EndpointAnswerHeaders;
+  readonly endpointHeaders: EndpointAnswerHeaders;
 }
 
-/** Why there is no answer to pass on. */
+/** Why there is no answer to forward. */
 export interface ExchangeFailure {
-  readonly fate: ExchangeFate;
+  readonly kind: FailureKind;
   readonly reason: string;
-  /** The connection may have been late for this host's own link. */
-  readonly isLinkDelay?: boolean;
+  /** Whether the connect may have been delayed by this host's own link. */
+  readonly mayBeLinkDelay?: boolean;
 }
 
-/** What is sent to an endpoint. */
+/** A request as it is sent to an endpoint. */
 export interface DispatchedRequest {
   readonly method: string;
   readonly target: string;
@@ -45,32 +45,35 @@
   readonly attemptId: string | undefined;
 }
 
-/** Longest body that is held until it is whole; a longer one is a failure. */
-const LONGEST_WHOLE_BODY_BYTES = 8 * 1024 * 1024;
+/**
+ * Maximum size of a body that is buffered until it is complete; a longer one is
+ * a failure.
+ */
+const MAXIMUM_BUFFERED_BODY_BYTES = 8 * 1024 * 1024;
 
-/** One request on its way to one endpoint, and its answer. */
+/** One request to one endpoint, and its answer. */
 export class EndpointExchange {
   private readonly outgoing: ClientRequest;
   private incoming: IncomingMessage | undefined;
   private failure: string | undefined;
   private isConnected = false;
   private connectStartedAt: number | undefined;
-  private wasLinkDelay = false;
+  private wasDelayedByLink = false;
   private connectTimeout: NetworkTimeout | undefined;
 
   constructor(
     private readonly dialect: Dialect,
-    private readonly connections: EndpointConnections,
+    private readonly connections: EndpointConnectionPool,
     endpoint: EndpointEntry,
-    private readonly sent: DispatchedRequest,
+    private readonly dispatched: DispatchedRequest,
   ) {
     this.outgoing = sendRequest({
       agent: connections,
       host: endpoint.address,
       port: endpoint.port,
-      method: sent.method,
-      path: sent.target,
-      headers: [...sent.headers],
+      method: dispatched.method,
+      path: dispatched.target,
+      headers: [...dispatched.headers],
     });
     this.outgoing.once('socket', socket => {
       if (!socket.connecting) {
@@ -79,12 +82,12 @@
       }
       const startedAt = performance.now();
       this.connectStartedAt = startedAt;
-      const limit = connections.connectLimitMilliseconds;
+      const limit = connections.connectTimeoutMilliseconds;
       this.connectTimeout = new NetworkTimeout(limit, () => {
-        this.cancel('no connection in time');
+        this.cancel('connect timeout');
       });
       socket.once('connect', () => {
-        connections.connected(performance.now() - startedAt);
+        connections.recordConnect(performance.now() - startedAt);
         this.connectTimeout?.close();
         this.isConnected = true;
       });
@@ -92,63 +95,68 @@
     this.outgoing.on('error', error => {
       this.failure ??= error.message;
     });
-    this.outgoing.end(sent.body);
+    this.outgoing.end(dispatched.body);
   }
 
-  /** Waits for the answer's headers. */
+  /** Resolves with the answer's head, or with the failure. */
   async head(): Promise<AnswerHead | ExchangeFailure> {
     const incoming = await this.firstResponse();
     if (incoming === undefined) {
-      return this.failed();
+      return this.failureResult();
     }
     const status = incoming.statusCode ?? 0;
     const {rawHeaders} = incoming;
-    const said = this.dialect.endpointAnswer(status, rawHeaders);
-    const {attemptId} = this.sent;
-    if (said.attemptId !== undefined && said.attemptId !== attemptId) {
+    const endpointHeaders = this.dialect.endpointAnswer(status, rawHeaders);
+    const {attemptId} = this.dispatched;
+    if (
+      endpointHeaders.attemptId !== undefined &&
+      endpointHeaders.attemptId !== attemptId
+    ) {
       this.cancel('answer to another request');
-      return this.failed();
+      return this.failureResult();
     }
-    if (said.isNotRun) {
+    if (endpointHeaders.isNotRun) {
       incoming.resume();
-      const fate =
-        status === 421 ? ExchangeFate.WrongEndpoint : ExchangeFate.NotRun;
-      return {fate, reason: `answered ${status} without running it`};
+      const kind =
+        status === 421 ? FailureKind.WrongEndpoint : FailureKind.NotRun;
+      return {kind, reason: `answered ${status} without running it`};
     }
-    return {status, rawHeaders, said};
+    return {status, rawHeaders, endpointHeaders};
   }
 
-  /** Reads the rest of an answer; undefined where it was cut. */
-  async wholeBody(): Promise<Buffer | undefined> {
+  /** Reads the complete body of an answer; undefined if it was cut. */
+  async readBody(): Promise<Buffer | undefined> {
     const chunks: Buffer[] = [];
     let bytes = 0;
     await this.read(chunk => {
       bytes += chunk.length;
       chunks.push(chunk);
-      if (bytes > LONGEST_WHOLE_BODY_BYTES) {
+      if (bytes > MAXIMUM_BUFFERED_BODY_BYTES) {
         this.cancel('answer too long');
       }
     });
-    return this.isWhole ? Buffer.concat(chunks) : undefined;
+    return this.isComplete ? Buffer.concat(chunks) : undefined;
   }
 
   /**
-   * Hands on the parts of an answer as they come; resolves where it ends or is cut.
+   * Passes on the chunks of an answer as they arrive; resolves when the answer
+   * ends or is cut.
    *
-   * @param take Takes a part; no other comes before the promise that it may return.
-   * @throws What `take` throws.
+   * @param onChunk Consumes a chunk; reading pauses until the promise that it
+   *     may return has resolved.
+   * @throws The error that `onChunk` throws.
    */
-  read(take: (chunk: Buffer) => Promise<void> | undefined): Promise<void> {
+  read(onChunk: (chunk: Buffer) => Promise<void> | undefined): Promise<void> {
     const {incoming} = this;
     if (incoming === undefined || incoming.destroyed) {
       this.failure ??= 'answer cut';
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
-      let taken: Promise<void> | undefined;
+      let consumed: Promise<void> | undefined;
       const finish = () => {
-        // A stream that is paused ends nevertheless once it has no more parts.
-        resolve(taken);
+        // A paused stream still emits its end once it has no more chunks.
+        resolve(consumed);
       };
       incoming.on('error', error => {
         this.failure ??= String(error);
@@ -157,10 +165,10 @@
       incoming.once('close', finish);
       incoming.on('data', (chunk: Buffer) => {
         try {
-          taken = take(chunk);
-          holdBackUntil(incoming, taken);
+          consumed = onChunk(chunk);
+          pauseUntil(incoming, consumed);
         } catch (error) {
-          this.cancel('not passed on');
+          this.cancel('relaying failed');
           reject(error instanceof Error ? error : new Error(String(error)));
         }
       });
@@ -168,16 +176,17 @@
   }
 
   /**
-   * True where the answer came to its end. A connection that was reset ends an
-   * answer without a length as if it were whole: the error alone tells.
+   * Whether the answer is complete. When a connection is reset, Node.js ends an
+   * answer without a length as if it were complete; only the error shows the
+   * difference.
    */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.incoming?.complete === true && this.failure === undefined;
   }
 
   /**
-   * False for an answer without a length that ends with its connection: nothing
-   * but the connection's end tells that it is whole.
+   * False for an answer without a length, whose end is only marked by the close
+   * of its connection.
    */
   get hasLength(): boolean {
     const headers = this.incoming?.headers;
@@ -187,8 +196,10 @@
     );
   }
 
-  /** Whether its connection is awaited, and may be late for this host's own link. */
-  get awaitsLink(): boolean {
+  /**
+   * Whether the connect is pending, and may be delayed by this host's own link.
+   */
+  get isConnectDelayedByLink(): boolean {
     return (
       this.connectStartedAt !== undefined &&
       !this.isConnected &&
@@ -196,26 +207,29 @@
     );
   }
 
-  /** Why it failed, where it did. */
+  /** Reason of a failure. */
   get failureReason(): string {
     return this.failure ?? 'answer cut';
   }
 
-  /** Closes the connection: the endpoint stops working on the request. */
+  /**
+   * Closes the connection, which makes the endpoint stop working on the
+   * request.
+   */
   cancel(reason: string): void {
     if (this.failure === undefined) {
-      this.noteConnectGivenUp();
+      this.recordAbandonedConnect();
     }
     this.failure ??= reason;
     this.connectTimeout?.close();
     this.outgoing.destroy();
   }
 
-  private noteConnectGivenUp(): void {
+  private recordAbandonedConnect(): void {
     if (this.connectStartedAt !== undefined && !this.isConnected) {
       const waited = performance.now() - this.connectStartedAt;
-      this.connections.connectGivenUp(waited);
-      this.wasLinkDelay = this.awaitsLink;
+      this.connections.recordAbandonedConnect(waited);
+      this.wasDelayedByLink = this.isConnectDelayedByLink;
     }
   }
 
@@ -224,7 +238,7 @@
       this.outgoing.once('response', incoming => {
         this.incoming = incoming;
         const keepAlive = String(incoming.headers['keep-alive'] ?? '');
-        this.connections.answered(incoming.socket, keepAlive);
+        this.connections.recordKeepAlive(incoming.socket, keepAlive);
         resolve(incoming);
       });
       this.outgoing.once('close', () => {
@@ -234,28 +248,28 @@
     });
   }
 
-  private failed(): ExchangeFailure {
+  private failureResult(): ExchangeFailure {
     return {
-      fate: this.isConnected ? ExchangeFate.Unknown : ExchangeFate.NotSent,
+      kind: this.isConnected ? FailureKind.Unknown : FailureKind.NotSent,
       reason: this.failureReason,
-      isLinkDelay: this.wasLinkDelay,
+      mayBeLinkDelay: this.wasDelayedByLink,
     };
   }
 }
 
-function holdBackUntil(
+function pauseUntil(
   incoming: IncomingMessage,
-  taken: Promise<void> | undefined,
+  consumed: Promise<void> | undefined,
 ): void {
-  if (taken !== undefined) {
+  if (consumed !== undefined) {
     incoming.pause();
-    void taken.then(() => incoming.resume());
+    void consumed.then(() => incoming.resume());
   }
 }
 
-/** Whether an exchange ended without an answer to pass on. */
+/** Whether an exchange ended without an answer to forward. */
 export function isFailure(
   head: AnswerHead | ExchangeFailure,
 ): head is ExchangeFailure {
-  return 'fate' in head;
+  return 'kind' in head;
 }
--- a/packages/gateway/src/event-loop.ts
+++ b/packages/gateway/src/event-loop.ts
@@ -1,4 +1,4 @@
 /** Resolves in the next turn of the event loop. */
-export function turnOfEventLoop(): Promise<void> {
+export function nextEventLoopTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/gateway/src/event-stream-splitter.ts
+++ b/packages/gateway/src/event-stream-splitter.ts
@@ -1,7 +1,7 @@
-/** One event of a stream, with the bytes that it came in. */
+/** One event of a stream, with its raw bytes. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Undefined where the event has none. */
+  /** Identifier of the event; undefined if it has none. */
   readonly id: string | undefined;
 }
 
@@ -9,27 +9,29 @@
 const ID_LINE = /(?:^|\n)id: ?([^\r\n]*)/;
 
 /**
- * Cuts a `text/event-stream` into whole events. What came of an event that is not
- * whole is kept back: an endpoint that crashes can stop in the middle of one, and
- * half an event must not be joined with another run's.
+ * Splits a `text/event-stream` into complete events. An incomplete event is
+ * held back: an endpoint that crashes can stop in the middle of one, and half
+ * an event must not be joined with the events of another run.
  */
 export class EventStreamSplitter {
-  private held: Buffer = Buffer.alloc(0);
+  private incomplete: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole. */
-  get rest(): Buffer {
-    return this.held;
+  /** Bytes of an event that is not complete yet. */
+  get incompleteEvent(): Buffer {
+    return this.incomplete;
   }
 
-  /** @returns The events that are whole now, in order. */
+  /** @returns The events that this chunk completes, in order. */
   push(chunk: Buffer): StreamEvent[] {
     let data =
-      this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
+      this.incomplete.length === 0
+        ? chunk
+        : Buffer.concat([this.incomplete, chunk]);
     const events: StreamEvent[] = [];
     for (;;) {
       const end = eventEnd(data);
       if (end === undefined) {
-        this.held = data;
+        this.incomplete = data;
         return events;
       }
       const bytes = data.subarray(0, end);
@@ -39,7 +41,10 @@
   }
 }
 
-/** Index behind the empty line that ends the first event. */
+/**
+ * Index after the empty line that ends the first event; undefined if that line
+ * has not arrived.
+ */
 function eventEnd(data: Buffer): number | undefined {
   let from = 0;
   for (;;) {
--- a/packages/gateway/src/gateway-limits.ts
+++ b/packages/gateway/src/gateway-limits.ts
@@ -1,33 +1,46 @@
 import type {ResendLimits} from '@wisteriadeal/decisions';
 import type {GatewaySettings} from '@wisteriadeal/schema';
 
-/** Limits of one gateway that its settings give; times in milliseconds. */
+/** Limits that a gateway's settings define. */
 export interface GatewayLimits {
-  /** The platform kills the process so long after it asked it to stop. */
+  /**
+   * Time from the platform's request to stop until it kills the process,
+   * milliseconds.
+   */
   readonly stopGraceMilliseconds: number;
   readonly resends: ResendLimits;
-  /** How long an endpoint accepts new requests after it is listed as leaving. */
+  /**
+   * How long an endpoint accepts new requests after it is listed as leaving,
+   * milliseconds.
+   */
   readonly endpointDrainMilliseconds: number;
-  /** The store may drop records that are older. */
-  readonly storeKeepMilliseconds: number;
-  /** Of the host's link, bytes a second; 0 where it is not known. */
-  readonly linkCapacity: number;
+  /** Retention of the store, which may drop older records, milliseconds. */
+  readonly storeRetentionMilliseconds: number;
+  /** Capacity of the host's link, bytes per second; 0 if unknown. */
+  readonly linkBytesPerSecond: number;
 }
 
 const DEFAULT_STOP_GRACE_SECONDS = 8;
 const DEFAULT_ENDPOINT_DRAIN_MILLISECONDS = 2_000;
 const DEFAULT_RETRY_WINDOW_SECONDS = 10;
-const DEFAULT_STORE_KEEP_SECONDS = 20;
+const DEFAULT_STORE_RETENTION_SECONDS = 20;
 const MEGABIT_BYTES = 125_000;
 
-/** A number of the settings; proto3 gives 0 where none was written. */
-function milliseconds(seconds: number, standard: number): number {
-  return (seconds === 0 ? standard : seconds) * 1_000;
+/**
+ * Converts a setting to milliseconds; proto3 reads a missing number as 0, which
+ * selects the default.
+ */
+function secondsToMilliseconds(
+  seconds: number,
+  defaultSeconds: number,
+): number {
+  return (seconds === 0 ? defaultSeconds : seconds) * 1_000;
 }
 
 /**
- * The limits of the settings, with a default for each time that is left out or 0.
- * Where the bound on resends is left out, there are none.
+ * Reads the limits from the settings, with a default for each time that is
+ * missing or 0. Without a setting for the resend budget, no resends are
+ * allowed.
  *
  * @example
  * ```ts
@@ -36,24 +49,24 @@
  */
 export function gatewayLimits(settings: GatewaySettings): GatewayLimits {
   return {
-    stopGraceMilliseconds: milliseconds(
+    stopGraceMilliseconds: secondsToMilliseconds(
       settings.stopGraceSeconds,
       DEFAULT_STOP_GRACE_SECONDS,
     ),
     resends: {
       ratio: settings.retryBudgetRatio,
       extra: settings.retryBudgetExtra,
-      windowMilliseconds: milliseconds(
+      windowMilliseconds: secondsToMilliseconds(
         settings.retryBudgetWindowSeconds,
         DEFAULT_RETRY_WINDOW_SECONDS,
       ),
     },
     endpointDrainMilliseconds:
       settings.endpointDrainMilliseconds || DEFAULT_ENDPOINT_DRAIN_MILLISECONDS,
-    storeKeepMilliseconds: milliseconds(
+    storeRetentionMilliseconds: secondsToMilliseconds(
       settings.storeKeepSeconds,
-      DEFAULT_STORE_KEEP_SECONDS,
+      DEFAULT_STORE_RETENTION_SECONDS,
     ),
-    linkCapacity: settings.linkMegabitsPerSecond * MEGABIT_BYTES,
+    linkBytesPerSecond: settings.linkMegabitsPerSecond * MEGABIT_BYTES,
   };
 }
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -2,15 +2,21 @@
 
 import type {RequestRecord} from './request-record.js';
 
-/** Seconds; from a plain call's few milliseconds to a long stream. */
+/**
+ * Buckets of request durations in seconds, from a plain call of a few
+ * milliseconds to a long stream.
+ */
 const DURATION_BUCKETS = [
   0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8,
 ];
 
-/** Seconds; from an idle loop's turn to one that misses every objective. */
+/**
+ * Buckets of event loop times in seconds, from a turn of an idle loop to one
+ * long enough to miss every latency objective.
+ */
 const LOOP_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1];
 
-/** Counters and latencies of a gateway, served as text. */
+/** Prometheus metrics of a gateway. */
 export class GatewayMetrics {
   private readonly registry = new Registry();
   private readonly requests = new Counter({
@@ -61,39 +67,42 @@
   });
 
   /** Counts a request that has ended. */
-  requestEnded(record: RequestRecord, tookMilliseconds: number): void {
+  requestEnded(record: RequestRecord, durationMilliseconds: number): void {
     const outcome = record.outcome;
     this.requests.inc({outcome, status: String(record.status)});
-    this.durations.observe({outcome}, tookMilliseconds / 1_000);
+    this.durations.observe({outcome}, durationMilliseconds / 1_000);
     this.resends.inc(Math.max(0, record.attempts.length - 1));
   }
 
-  /** The event loop has worked for so long between two looks at its sockets. */
-  turn(milliseconds: number): void {
+  /**
+   * Records the duration of an event loop turn between two polls of the
+   * sockets.
+   */
+  observeLoopTurn(milliseconds: number): void {
     this.turns.observe(milliseconds / 1_000);
   }
 
-  /** A request was read that had waited unseen for so long. */
-  requestSeen(unseenMilliseconds: number): void {
+  /** Records the estimated time that a request waited before it was read. */
+  observeUnreadWait(unseenMilliseconds: number): void {
     this.unseen.observe(unseenMilliseconds / 1_000);
   }
 
-  /** A caller's connection was accepted. */
+  /** Counts an accepted connection of a caller. */
   callerConnected(): void {
     this.accepted.inc();
   }
 
-  /** A caller left before anything was done for its request. */
+  /** Counts a caller that left before its request was served. */
   callerLeftUnserved(): void {
     this.leftUnserved.inc();
   }
 
-  /** Sets what the process believes. */
-  state(name: string, value: number): void {
+  /** Sets the gauge of one value of the process's state. */
+  setState(name: string, value: number): void {
     this.states.set({name}, value);
   }
 
-  /** All metrics as text, and its content type. */
+  /** All metrics in the Prometheus text format, and its content type. */
   async text(): Promise<{readonly type: string; readonly body: string}> {
     return {
       type: this.registry.contentType,
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -4,22 +4,22 @@
 import type {BudgetHolder} from './budget-holder.js';
 import type {CallerServer} from './caller-server.js';
 import type {ConfigurationState} from './configuration-state.js';
-import type {EndpointConnections} from './endpoint-connections.js';
+import type {EndpointConnectionPool} from './endpoint-connection-pool.js';
 import type {EndpointDirectory} from './endpoint-directory.js';
 import type {GatewayMetrics} from './gateway-metrics.js';
 import type {HostRotation} from './host-rotation.js';
-import type {LinkWatch} from './link-watch.js';
+import type {LinkMonitor} from './link-monitor.js';
 import {GatewayStatus} from './status-server.js';
 import type {StoreHealth} from './store-health.js';
 
-/** The store as this host sees it, by what is read there. */
+/** This host's view of the store's health, by topic. */
 export interface TopicHealth {
   readonly budgets: StoreHealth;
   readonly endpoints: StoreHealth;
   readonly configuration: StoreHealth;
 }
 
-/** What a gateway tells of itself, to the platform and to people. */
+/** A gateway's status for the platform's probes and for operators. */
 export class GatewayState extends GatewayStatus {
   private isStopping = false;
 
@@ -30,15 +30,15 @@
     private readonly callers: CallerServer,
     private readonly health: TopicHealth,
     private readonly metrics: GatewayMetrics,
-    private readonly link: LinkWatch,
+    private readonly link: LinkMonitor,
     private readonly rotation: HostRotation,
-    private readonly connections: EndpointConnections,
+    private readonly connections: EndpointConnectionPool,
     private readonly clock: Clock,
   ) {
     super();
   }
 
-  /** Not ready from now on. */
+  /** Reports not ready from now on. */
   beginStop(): void {
     this.isStopping = true;
   }
@@ -53,7 +53,7 @@
     );
   }
 
-  override probed(isReady: boolean): void {
+  override readinessAnswered(isReady: boolean): void {
     this.rotation.probed(isReady);
   }
 
@@ -94,35 +94,38 @@
     };
   }
 
-  override refresh(): void {
+  override refreshGauges(): void {
     const now = this.clock.monotonicMilliseconds();
-    this.metrics.state('open_requests', this.callers.openRequests);
-    this.metrics.state('ready', this.isReady() ? 1 : 0);
+    this.metrics.setState('open_requests', this.callers.openRequests);
+    this.metrics.setState('ready', this.isReady() ? 1 : 0);
     for (const [topic, health] of [
       ['budgets', this.health.budgets],
       ['endpoints', this.health.endpoints],
       ['configuration', this.health.configuration],
     ] as const) {
-      this.metrics.state(`${topic}_away`, health.isAway ? 1 : 0);
-      this.metrics.state(`${topic}_answer_age_ms`, health.answerAge(now));
+      this.metrics.setState(`${topic}_away`, health.isAway ? 1 : 0);
+      this.metrics.setState(`${topic}_answer_age_ms`, health.answerAge(now));
     }
-    this.metrics.state('link_received_bytes', this.link.receivedBytes);
-    this.metrics.state('link_sent_bytes', this.link.sentBytes);
-    this.metrics.state(
+    this.metrics.setState('link_received_bytes', this.link.receivedBytes);
+    this.metrics.setState('link_sent_bytes', this.link.sentBytes);
+    this.metrics.setState(
       'link_received_bytes_a_second',
       this.link.bytesPerSecond,
     );
-    this.metrics.state(
+    this.metrics.setState(
       'endpoint_connect_ms',
       this.connections.connectMilliseconds,
     );
-    this.metrics.state('link_full', this.link.isFull ? 1 : 0);
-    this.metrics.state('link_delay_ms', this.link.delayMilliseconds);
-    this.metrics.state('in_rotation', this.rotation.takesConnections ? 1 : 0);
-    this.metrics.state('endpoints', this.directory.all.length);
-    this.metrics.state('budget_holders', this.budgets.holders);
-    this.metrics.state('resident_bytes', process.memoryUsage.rss());
+    this.metrics.setState('link_full', this.link.isFull ? 1 : 0);
+    this.metrics.setState('link_delay_ms', this.link.delayMilliseconds);
+    this.metrics.setState(
+      'in_rotation',
+      this.rotation.takesConnections ? 1 : 0,
+    );
+    this.metrics.setState('endpoints', this.directory.all.length);
+    this.metrics.setState('budget_holders', this.budgets.holders);
+    this.metrics.setState('resident_bytes', process.memoryUsage.rss());
     const version = this.configuration.current?.version ?? -1;
-    this.metrics.state('configuration_version', version);
+    this.metrics.setState('configuration_version', version);
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -11,11 +11,11 @@
 import {BudgetHolder} from './budget-holder.js';
 import {BudgetJournal} from './budget-journal.js';
 import {BudgetReplica} from './budget-replica.js';
-import type {CallerDoor} from './caller-door.js';
+import type {CallerDoor} from './caller-listener.js';
 import {CallerServer} from './caller-server.js';
 import {ConfigurationState} from './configuration-state.js';
 import type {Dialect} from './dialect.js';
-import {EndpointConnections} from './endpoint-connections.js';
+import {EndpointConnectionPool} from './endpoint-connection-pool.js';
 import {EndpointDirectory} from './endpoint-directory.js';
 import {gatewayLimits} from './gateway-limits.js';
 import {GatewayMetrics} from './gateway-metrics.js';
@@ -25,7 +25,7 @@
 import {KeyedTopicFollower} from './keyed-follower.js';
 import {GracefulStop} from './graceful-stop.js';
 import type {HostTraffic} from './host-traffic.js';
-import {LinkWatch} from './link-watch.js';
+import {LinkMonitor} from './link-monitor.js';
 import {listenAddress} from './listening.js';
 import {ConnectLoanPeers} from './loan-peers.js';
 import {LoanServer} from './loan-server.js';
@@ -37,7 +37,7 @@
 import {StatusServer} from './status-server.js';
 import {StoreHealth} from './store-health.js';
 
-/** What a gateway needs from outside. */
+/** Dependencies of a gateway. */
 export interface GatewayParts {
   readonly settings: GatewaySettings;
   readonly names: GatewayNames;
@@ -46,31 +46,39 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
-  /** May listen already. */
+  /** Listener for callers; may already be listening. */
   readonly door: CallerDoor;
-  /** Of its host; by default that of this process. */
+  /** Traffic of the host; by default that of this process. */
   readonly traffic?: HostTraffic;
 }
 
 /**
- * A read of the configuration waits so long for a new version. Longer reads cost
- * fewer calls; a connection that has gone silent shows only when one is overdue.
+ * How long a read of the configuration waits for a new version. Longer reads
+ * cost fewer calls, but a dead connection is noticed only when a read is
+ * overdue.
  */
 const CONFIGURATION_WAIT_MILLISECONDS = 1_000;
-/** Endpoints' heartbeats are gathered so long, so that one call brings many. */
-const ENDPOINT_PAUSE_MILLISECONDS = 350;
-/** A checkpoint is due after this part of the time that the store keeps records. */
-const CHECKPOINT_PARTS = 5;
-/** What a process must know before it can serve. */
-enum StartNeed {
+/**
+ * Pause between reads of the endpoint list, so that one call returns many
+ * heartbeats.
+ */
+const ENDPOINT_READ_PAUSE_MILLISECONDS = 350;
+/** Number of budget checkpoints within the store's retention period. */
+const CHECKPOINTS_PER_RETENTION = 5;
+/** Data that a process needs before it can serve requests. */
+enum StartRequirement {
   Configuration = 'configuration',
   Endpoints = 'endpoints',
 }
 
-/** Some calls to the store bring what serving needs, 4 ms each when it is well. */
-const FIRST_CALLS_MILLISECONDS = 400;
+/**
+ * Requests wait at most this long after the start for configuration and
+ * endpoints, which take a few calls to the store of 4 ms each when it is
+ * healthy.
+ */
+const START_GATE_TIMEOUT_MILLISECONDS = 400;
 
-/** The program of an entry host. */
+/** The gateway process of an entry host. */
 export class Gateway implements RunningBinary<GatewaySettings> {
   private readonly health: TopicHealth;
   private readonly state: GatewayState;
@@ -82,17 +90,17 @@
   private readonly callers: CallerServer;
   private readonly status: StatusServer;
   private readonly followers: readonly KeyedTopicFollower[];
-  private readonly connections: EndpointConnections;
+  private readonly connections: EndpointConnectionPool;
   private readonly metrics = new GatewayMetrics();
-  private readonly link: LinkWatch;
+  private readonly link: LinkMonitor;
   private readonly rotation: HostRotation;
-  private readonly gate = new StartGate(Object.values(StartNeed));
+  private readonly gate = new StartGate(Object.values(StartRequirement));
   private lender: LoanServer | undefined;
 
   constructor(private readonly parts: GatewayParts) {
     const {settings, names, dialect, log, clock, events} = parts;
     this.link = this.createLink();
-    this.connections = new EndpointConnections(this.link);
+    this.connections = new EndpointConnectionPool(this.link);
     log.useLink(this.link);
     this.rotation = this.createRotation();
     this.health = this.createHealth();
@@ -143,7 +151,7 @@
       events,
     );
     this.followers = this.createFollowers();
-    this.link.whenSampled(() => {
+    this.link.setSampleListener(() => {
       this.rotation.observe({
         isOverloaded: this.link.isOverloaded,
         connections: this.callers.acceptedConnections,
@@ -151,19 +159,19 @@
       this.budgets.setLeaving(this.rotation.endsConnections);
     });
     this.directory.onRead(() => {
-      this.gate.met(StartNeed.Endpoints);
+      this.gate.requirementMet(StartRequirement.Endpoints);
     });
     this.configuration.onChange(configuration => {
-      this.gate.met(StartNeed.Configuration);
+      this.gate.requirementMet(StartRequirement.Configuration);
       this.budgets.configure(configuration);
-      this.callers.limit(configuration.limits);
+      this.callers.applyLimits(configuration.limits);
     });
   }
 
-  /** Listens, and begins to follow the store. */
+  /** Starts listening and following the store. */
   async start(): Promise<void> {
     const {settings, events} = this.parts;
-    this.gate.openAfter(FIRST_CALLS_MILLISECONDS);
+    this.gate.openAfter(START_GATE_TIMEOUT_MILLISECONDS);
     this.link.start();
     await this.callers.listen(listenAddress(settings.callerAddress));
     this.lender = await LoanServer.listen(
@@ -183,25 +191,28 @@
   }
 
   /**
-   * Says that it leaves, ends its work in good order, and ends.
+   * Reports not ready, finishes its work and shuts down.
    *
-   * @param toldAgo How long ago the process was told to stop, milliseconds.
+   * @param stopRequestedMillisecondsAgo How long ago the process was asked to
+   *     stop, milliseconds.
    */
-  async close(toldAgo = 0): Promise<void> {
+  async close(stopRequestedMillisecondsAgo = 0): Promise<void> {
     const {settings, clock, events} = this.parts;
     const {stopGraceMilliseconds} = gatewayLimits(settings);
     const {callers, handler, budgets, bills} = this;
     const stop = new GracefulStop(
       {callers, handler, budgets, bills, clock, events},
       stopGraceMilliseconds,
-      toldAgo,
+      stopRequestedMillisecondsAgo,
     );
     this.state.beginStop();
     await stop.run();
     await this.abort();
   }
 
-  /** Ends at once: open requests are cut and grants stay where they are. */
+  /**
+   * Shuts down immediately: open requests are cut and grants are not returned.
+   */
   async abort(): Promise<void> {
     this.gate.close();
     this.callers.close();
@@ -217,22 +228,25 @@
     this.parts.log.close();
   }
 
-  /** Whether it takes callers. */
+  /** Whether the gateway serves callers. */
   isReady(): boolean {
     return this.state.isReady();
   }
 
-  /** Its state, for people. */
+  /** The gateway's state, for operators. */
   dump(): JsonValue {
     return this.state.dump();
   }
 
-  /** Port that callers use; the settings may leave the choice to the system. */
+  /** Port for callers; the settings may leave the choice to the system. */
   get callerPort(): number {
     return this.callers.port;
   }
 
-  /** Port of the readiness address; the settings may leave it to the system. */
+  /**
+   * Port of the readiness address; the settings may leave the choice to the
+   * system.
+   */
   get readyPort(): number {
     return this.status.readyPort;
   }
@@ -243,12 +257,12 @@
   }
 
   /**
-   * Takes the bounds that may change while it runs. Addresses stay: open
-   * connections hang on them, and a restart takes new ones.
+   * Applies the settings that may change at run time. Addresses stay, because
+   * open connections depend on them; changing them takes a restart.
    */
   reload(settings: GatewaySettings): void {
-    this.handler.limitResends(gatewayLimits(settings).resends);
-    this.handler.chargeUndelivered(undeliveredCharge(settings));
+    this.handler.setResendLimits(gatewayLimits(settings).resends);
+    this.handler.setUndeliveredCharge(undeliveredCharge(settings));
     this.parts.events.info('settings read again', {host: settings.host});
   }
 
@@ -257,7 +271,8 @@
     const replica = new BudgetReplica(
       log,
       clock,
-      gatewayLimits(settings).storeKeepMilliseconds / CHECKPOINT_PARTS,
+      gatewayLimits(settings).storeRetentionMilliseconds /
+        CHECKPOINTS_PER_RETENTION,
       events,
     );
     const identity = {
@@ -293,10 +308,10 @@
     };
   }
 
-  private createLink(): LinkWatch {
+  private createLink(): LinkMonitor {
     const {settings, clock, events, traffic} = this.parts;
-    return new LinkWatch(
-      gatewayLimits(settings).linkCapacity,
+    return new LinkMonitor(
+      gatewayLimits(settings).linkBytesPerSecond,
       traffic ?? new ProcessTraffic(),
       events,
       () => clock.monotonicMilliseconds(),
@@ -328,7 +343,7 @@
         directory: this.directory,
         dataCenter: settings.dataCenter,
         dataCenters: new DataCenterTrust(settings.dataCenter),
-        hosts: () => this.budgets.holders,
+        hostCount: () => this.budgets.holders,
       },
       gatewayLimits(settings).resends,
       undeliveredCharge(settings),
@@ -360,7 +375,7 @@
         {
           partition: names.endpointPartition,
           waitMilliseconds: 0,
-          pauseMilliseconds: ENDPOINT_PAUSE_MILLISECONDS,
+          pauseMilliseconds: ENDPOINT_READ_PAUSE_MILLISECONDS,
         },
         this.health.endpoints,
         clock,
--- a/packages/gateway/src/graceful-stop.ts
+++ b/packages/gateway/src/graceful-stop.ts
@@ -5,10 +5,10 @@
 import type {BillWriter} from './bill-writer.js';
 import type {BudgetHolder} from './budget-holder.js';
 import type {CallerServer} from './caller-server.js';
-import {turnOfEventLoop} from './event-loop.js';
+import {nextEventLoopTurn} from './event-loop.js';
 import type {RequestHandler} from './request-handler.js';
 
-/** What a process ends in good order. */
+/** The components that a graceful stop shuts down. */
 export interface StopParts {
   readonly callers: CallerServer;
   readonly handler: RequestHandler;
@@ -18,107 +18,124 @@
   readonly events: EventLog;
 }
 
-/** Connections that come between readiness' end and the platform's notice of it. */
-const NOTICE_MILLISECONDS = 2_600;
-/** What still runs after this part of the grace is cut. */
-const WORK_PART_OF_GRACE = 0.85;
-/** What was cut is told to its caller, charged and billed within this. */
-const CUT_MILLISECONDS = 100;
-/** Answers are sent and grants returned until then; the rest is for the process's end. */
-const END_PART_OF_GRACE = 0.95;
+/**
+ * Time for the platform to notice that the host is not ready; new connections
+ * arrive until then.
+ */
+const DEREGISTRATION_DELAY_MILLISECONDS = 2_600;
+/** Fraction of the grace period after which running requests are cut. */
+const CUT_GRACE_FRACTION = 0.85;
+/** Time within which cut requests are answered, charged and billed. */
+const CUT_SETTLEMENT_MILLISECONDS = 100;
+/**
+ * Fraction of the grace period for sending answers and returning grants; the
+ * rest is left for the process's exit.
+ */
+const END_GRACE_FRACTION = 0.95;
 
 /**
- * Ends a process's work in good order: it serves those who come before its stop is
- * known, refuses the rest as not run, finishes what runs and returns its grants. It
- * listens nearly to its end: where most hosts of a data centre stop at once, the
- * platform still sends callers.
+ * Shuts a process down gracefully: it serves the callers that connect before
+ * the platform has noticed the stop, refuses later ones as not run, finishes
+ * running requests and returns its grants. It listens almost to the end: if
+ * most hosts of a data centre stop at once, the platform keeps sending callers.
  */
 export class GracefulStop {
-  private readonly toldAt: number;
-  private readonly noticeEndsAt: number;
+  private readonly stopRequestedAt: number;
+  private readonly deregisteredAt: number;
   private readonly cutAt: number;
   private readonly endAt: number;
 
   /**
-   * @param graceMilliseconds Time until the platform kills the process.
-   * @param toldAgo How long of it has passed, milliseconds.
+   * @param graceMilliseconds Time from the request to stop until the platform
+   *     kills the process.
+   * @param stopRequestedMillisecondsAgo How much of that time has passed,
+   *     milliseconds.
    */
   constructor(
     private readonly parts: StopParts,
     graceMilliseconds: number,
-    toldAgo: number,
+    stopRequestedMillisecondsAgo: number,
   ) {
-    this.toldAt = this.now() - toldAgo;
-    this.noticeEndsAt = this.toldAt + NOTICE_MILLISECONDS;
-    this.cutAt = this.toldAt + graceMilliseconds * WORK_PART_OF_GRACE;
-    this.endAt = this.toldAt + graceMilliseconds * END_PART_OF_GRACE;
+    this.stopRequestedAt = this.now() - stopRequestedMillisecondsAgo;
+    this.deregisteredAt =
+      this.stopRequestedAt + DEREGISTRATION_DELAY_MILLISECONDS;
+    this.cutAt = this.stopRequestedAt + graceMilliseconds * CUT_GRACE_FRACTION;
+    this.endAt = this.stopRequestedAt + graceMilliseconds * END_GRACE_FRACTION;
   }
 
-  /** Resolves when nothing is left, or the grace is nearly over. */
+  /** Resolves when all work has ended, or the grace period is almost over. */
   async run(): Promise<void> {
     const {callers, handler, budgets, bills} = this.parts;
-    const isOver = new AbortController();
-    void this.cutOverdue(isOver.signal);
+    const stopEnded = new AbortController();
+    void this.cutRequestsAtDeadline(stopEnded.signal);
     callers.beginStop();
-    handler.beginStop(new StopAdmission(this.noticeEndsAt, this.cutAt));
-    this.note('stopping');
-    await this.until(this.cutAt, this.noticeOver());
-    this.note('notice over');
-    const cutEndsAt = Math.max(this.cutAt, this.now()) + CUT_MILLISECONDS;
-    await this.until(cutEndsAt, this.requestsEnded());
-    this.note('requests ended');
-    await this.until(this.endAt, Promise.all([budgets.close(), bills.flush()]));
-    this.note('grants returned');
-    // Returning grants takes seconds while the store is away, and callers still come.
-    await this.until(this.endAt, callers.drain());
-    await this.until(this.endAt, handler.settled());
-    await this.until(this.endAt, bills.close());
-    this.note('stopped');
-    isOver.abort();
+    handler.beginStop(new StopAdmission(this.deregisteredAt, this.cutAt));
+    this.logStep('stopping');
+    await this.waitUntil(this.cutAt, this.waitForDeregistration());
+    this.logStep('notice over');
+    const cutEndsAt =
+      Math.max(this.cutAt, this.now()) + CUT_SETTLEMENT_MILLISECONDS;
+    await this.waitUntil(cutEndsAt, this.waitForRequests());
+    this.logStep('requests ended');
+    await this.waitUntil(
+      this.endAt,
+      Promise.all([budgets.close(), bills.flush()]),
+    );
+    this.logStep('grants returned');
+    // Returning grants takes seconds during a store outage, and callers still
+    // connect meanwhile.
+    await this.waitUntil(this.endAt, callers.drain());
+    await this.waitUntil(this.endAt, handler.settled());
+    await this.waitUntil(this.endAt, bills.close());
+    this.logStep('stopped');
+    stopEnded.abort();
   }
 
-  /** A sleep may end a little early. */
-  private async noticeOver(): Promise<void> {
-    while (this.now() < this.noticeEndsAt) {
-      const left = this.noticeEndsAt - this.now();
-      await this.parts.clock.sleep(Math.max(0, Math.ceil(left)));
+  /** Sleeps in a loop, because a timer may fire slightly early. */
+  private async waitForDeregistration(): Promise<void> {
+    while (this.now() < this.deregisteredAt) {
+      const remaining = this.deregisteredAt - this.now();
+      await this.parts.clock.sleep(Math.max(0, Math.ceil(remaining)));
     }
   }
 
-  private async requestsEnded(): Promise<void> {
+  private async waitForRequests(): Promise<void> {
     const {callers, handler} = this.parts;
     await callers.idle();
     await handler.settled();
   }
 
-  private async cutOverdue(isOver: AbortSignal): Promise<void> {
-    await this.sleepUntil(this.cutAt, isOver);
-    if (!isOver.aborted) {
+  private async cutRequestsAtDeadline(stopEnded: AbortSignal): Promise<void> {
+    await this.sleepUntil(this.cutAt, stopEnded);
+    if (!stopEnded.aborted) {
       this.parts.handler.cutRunning();
     }
   }
 
-  /** Waits for something, until a time at most. */
-  private async until(at: number, done: Promise<unknown>): Promise<void> {
+  /**
+   * Waits for a promise, but at most until a time on the monotonic clock,
+   * milliseconds.
+   */
+  private async waitUntil(at: number, done: Promise<unknown>): Promise<void> {
     const isDone = new AbortController();
     await Promise.race([done, this.sleepUntil(at, isDone.signal)]);
     isDone.abort();
   }
 
   /**
-   * Sleeps until a time, then for one turn of the event loop: after the loop was
-   * blocked, it runs expired timers before it reads sockets.
+   * Sleeps until a time, then for one turn of the event loop: a loop that was
+   * blocked runs expired timers before it reads sockets.
    */
   private async sleepUntil(at: number, signal: AbortSignal): Promise<void> {
-    const left = Math.max(0, at - this.now());
-    await this.parts.clock.sleep(left, signal);
-    await turnOfEventLoop();
+    const remaining = Math.max(0, at - this.now());
+    await this.parts.clock.sleep(remaining, signal);
+    await nextEventLoopTurn();
   }
 
-  private note(event: string): void {
+  private logStep(event: string): void {
     const {callers, events} = this.parts;
     events.info(event, {
-      afterMilliseconds: Math.round(this.now() - this.toldAt),
+      afterMilliseconds: Math.round(this.now() - this.stopRequestedAt),
       requests: callers.openRequests,
       ...callers.connectionCounts,
     });
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,9 +1,10 @@
 /**
- * The one program of an entry host on a platform with a shared store: it takes
- * callers' requests to endpoints, within organisations' prepaid budgets. What is
- * outside stands behind `Dialect` and `PartitionedLog`.
+ * Gateway process of an entry host on a platform with a shared store: it
+ * forwards callers' requests to endpoints, within organisations' prepaid
+ * budgets. External protocols and storage are behind `Dialect` and
+ * `PartitionedLog`.
  */
-export * from './caller-door.js';
+export * from './caller-listener.js';
 export * from './configuration.js';
 export * from './dialect.js';
 export * from './endpoint-entry.js';
--- a/packages/gateway/src/link-watch.ts
+++ b/packages/gateway/src/link-monitor.ts
@@ -4,40 +4,41 @@
 
 import type {HostTraffic} from './host-traffic.js';
 
-/** A burst of callers shows within a second. */
+/** Sampling interval; a burst of traffic is detected within a second. */
 const SAMPLE_MILLISECONDS = 200;
 /** Data queued at a full link arrives within this time after the link was full. */
 const QUEUE_DRAIN_MILLISECONDS = 2_000;
-/** While the link is full a line comes this often. */
-const TELL_MILLISECONDS = 1_000;
+/** Interval of log lines while the link is full. */
+const LOG_INTERVAL_MILLISECONDS = 1_000;
 
 /**
- * Watches the host's inbound link, and tells when callers fill it and how long what
- * comes in waits there.
+ * Monitors the host's inbound link: whether callers fill it, and how long incoming
+ * data queues there.
  *
  * - `isFull`: callers use most of the link.
- * - `isCongested`: it is full, or was in the last two seconds.
- * - `isLate`: it is congested, and no connection has come without delay lately.
- * - `isOverloaded`: callers send more than it carries, so that some have to go elsewhere.
+ * - `isCongested`: the link is full, or was in the last two seconds.
+ * - `isLate`: the link is congested, and no recent connect was without delay.
+ * - `isOverloaded`: callers send more than the link's capacity, so that some have to
+ *   use another host.
  *
  * @example
  * ```ts
- * const link = new LinkWatch(875_000, new ProcessTraffic(), events, now);
+ * const link = new LinkMonitor(875_000, new ProcessTraffic(), events, now);
  * link.start();
  * const limitMilliseconds = 120 + link.delayMilliseconds;
  * ```
  */
-export class LinkWatch extends HostLink {
+export class LinkMonitor extends HostLink {
   private readonly load: LinkLoad;
   private readonly delay = new LinkDelay();
-  private readonly standing = new StandingDelay();
+  private readonly standingDelay = new StandingDelay();
   private timer: NodeJS.Timeout | undefined;
   private lastFullAt = -Infinity;
   private fullSince = 0;
-  private tellAt = Infinity;
+  private nextLogAt = Infinity;
   private onSample: () => void = () => undefined;
 
-  /** @param capacity Of the link, bytes a second; 0 where it is not known. */
+  /** @param capacity Capacity of the link, bytes per second; 0 if unknown. */
   constructor(
     private readonly capacity: number,
     private readonly traffic: HostTraffic,
@@ -48,12 +49,15 @@
     this.load = new LinkLoad(capacity);
   }
 
-  /** Calls the listener, in place of one before it, after each sample. */
-  whenSampled(listener: () => void): void {
+  /**
+   * Sets the listener that is called after each sample, replacing any earlier
+   * one.
+   */
+  setSampleListener(listener: () => void): void {
     this.onSample = listener;
   }
 
-  /** Begins to watch. */
+  /** Starts sampling. */
   start(): void {
     this.timer = setInterval(() => {
       this.observe();
@@ -61,13 +65,13 @@
     this.timer.unref();
   }
 
-  /** Watches no longer. */
+  /** Stops sampling. */
   close(): void {
     clearInterval(this.timer);
     this.traffic.close();
   }
 
-  /** Bytes received a second. */
+  /** Current rate of received bytes per second. */
   get bytesPerSecond(): number {
     return this.load.bytesPerSecond;
   }
@@ -82,22 +86,31 @@
     return this.traffic.received.inAll;
   }
 
-  /** Whether what comes in waits at the link: lateness says nothing of others. */
+  /**
+   * Whether incoming data queues at the link, so that a late answer shows
+   * nothing about its sender.
+   */
   get isFull(): boolean {
     return this.load.isFull;
   }
 
   override get isLate(): boolean {
-    return this.isCongested && !this.standing.isPrompt(this.now());
+    return this.isCongested && !this.standingDelay.isPrompt(this.now());
   }
 
-  /** Whether callers send more than the link carries, or did so and still wait. */
+  /**
+   * Whether callers send, or sent and still wait to send, more than the link's
+   * capacity.
+   */
   get isOverloaded(): boolean {
-    const isStanding = this.standing.isStanding(this.now());
+    const isStanding = this.standingDelay.isStanding(this.now());
     return this.isFull && (this.load.isSaturated || isStanding);
   }
 
-  /** Whether the link is or was recently full, so that answers may be queued at it. */
+  /**
+   * Whether the link is or was recently full, so that answers may be queued at
+   * it.
+   */
   override get isCongested(): boolean {
     return this.now() - this.lastFullAt < QUEUE_DRAIN_MILLISECONDS;
   }
@@ -111,14 +124,17 @@
   }
 
   override connected(milliseconds: number): void {
-    this.standing.arrived(this.now(), milliseconds);
+    this.standingDelay.arrived(this.now(), milliseconds);
   }
 
   override arrived(milliseconds: number): void {
     this.delay.arrived(milliseconds);
   }
 
-  /** While connections are prompt, what a peer does not send says nothing of the link. */
+  /**
+   * Counts as link delay only while connects are late too: while they are prompt,
+   * a missing answer shows nothing about the link.
+   */
   override expired(milliseconds: number): void {
     if (this.isLate) {
       this.delay.expired(milliseconds);
@@ -136,25 +152,27 @@
       this.lastFullAt = this.now();
     }
     if (isFull !== this.isFull) {
-      this.changed();
+      this.logStateChange();
     }
-    this.tellWhileFull();
+    this.logWhileFull();
     this.onSample();
   }
 
-  private changed(): void {
+  private logStateChange(): void {
     this.fullSince = this.now();
-    this.tellAt = this.isFull ? this.fullSince + TELL_MILLISECONDS : Infinity;
+    this.nextLogAt = this.isFull
+      ? this.fullSince + LOG_INTERVAL_MILLISECONDS
+      : Infinity;
     this.events.info('link', {isFull: this.isFull, ...this.fields});
   }
 
-  private tellWhileFull(): void {
+  private logWhileFull(): void {
     const now = this.now();
-    if (now < this.tellAt) {
+    if (now < this.nextLogAt) {
       return;
     }
-    const late = (now - this.tellAt) % TELL_MILLISECONDS;
-    this.tellAt = now - late + TELL_MILLISECONDS;
+    const overdue = (now - this.nextLogAt) % LOG_INTERVAL_MILLISECONDS;
+    this.nextLogAt = now - overdue + LOG_INTERVAL_MILLISECONDS;
     this.events.info('link full', {
       ...this.fields,
       fullForMilliseconds: Math.round(now - this.fullSince),
--- a/packages/gateway/src/load-report.ts
+++ b/packages/gateway/src/load-report.ts
@@ -1,16 +1,21 @@
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import type {LoopReading} from './loop-watch.js';
+import type {EventLoopReading} from './loop-watch.js';
 
-/** One line tells what has been gathered for so long. */
-const GATHER_MILLISECONDS = 1_000;
-/** A loop that is busy for longer without a pause is late for callers. */
-const LATE_MILLISECONDS = 300;
-/** Identifiers told of each kind. */
-const MOST_EXAMPLES = 5;
+/**
+ * Interval of log lines, each of which covers the time since the one before.
+ */
+const REPORT_INTERVAL_MILLISECONDS = 1_000;
+/**
+ * An event loop that is busy without a pause, or leaves a request unread, for
+ * this long makes callers wait.
+ */
+const LATE_THRESHOLD_MILLISECONDS = 300;
+/** Maximum number of request identifiers logged per kind. */
+const MAXIMUM_EXAMPLES = 5;
 
-/** Requests that ended alike: how many, and some of them. */
-class Tally {
+/** Number of requests with the same outcome, and some of their identifiers. */
+class RequestTally {
   private count = 0;
   private examples: string[] = [];
 
@@ -18,17 +23,17 @@
     return this.count === 0;
   }
 
-  /** @returns Whether it became an example. */
+  /** @returns Whether the request became an example. */
   add(request: string | undefined): boolean {
     this.count++;
-    const isExample = this.examples.length < MOST_EXAMPLES;
+    const isExample = this.examples.length < MAXIMUM_EXAMPLES;
     if (isExample) {
       this.examples.push(request ?? '');
     }
     return isExample;
   }
 
-  take(): {readonly count: number; readonly examples: string} {
+  takeAndReset(): {readonly count: number; readonly examples: string} {
     const taken = {count: this.count, examples: this.examples.join(' ')};
     this.count = 0;
     this.examples = [];
@@ -37,61 +42,65 @@
 }
 
 /**
- * Tells of a host that is late in one line a second at most, whatever comes: how busy
- * its loop is, how long requests waited unseen, and who was not served for it.
+ * Logs at most one line per second about a host that falls behind, regardless
+ * of load: how busy its event loop is, how long requests waited unread, and
+ * which requests were not served because of that.
  */
 export class LoadReport {
-  private readonly left = new Tally();
-  private readonly refused = new Tally();
+  private readonly left = new RequestTally();
+  private readonly refused = new RequestTally();
   private connections = 0;
   private requests = 0;
   private longestUnseen = 0;
   private longestTurn = 0;
-  private toldAt = 0;
+  private lastReportAt = 0;
 
   constructor(private readonly events: EventLog) {}
 
-  /** A connection was accepted. */
-  connected(): void {
+  /** Counts an accepted connection. */
+  connectionAccepted(): void {
     this.connections++;
   }
 
-  /** A turn of the loop has ended. */
-  turned(milliseconds: number): void {
+  /** Records the duration of an event loop turn. */
+  turnEnded(milliseconds: number): void {
     this.longestTurn = Math.max(this.longestTurn, milliseconds);
   }
 
-  /** A request was read. */
-  requested(unseenMilliseconds: number): void {
+  /** Counts a request that was read. */
+  requestRead(unseenMilliseconds: number): void {
     this.requests++;
     this.longestUnseen = Math.max(this.longestUnseen, unseenMilliseconds);
   }
 
   /**
-   * A caller left before anything was done for its request.
+   * Counts a caller that left before its request was served.
    *
-   * @returns Whether it is one of the examples, which have a line of their own.
+   * @returns Whether the request is one of the examples, which get a log line
+   *     of their own.
    */
   callerLeft(request: string | undefined): boolean {
     return this.left.add(request);
   }
 
-  /** A request was refused, as the host can't serve it in time. */
+  /**
+   * Counts a request that was refused because the host can't serve it in time.
+   */
   requestRefused(request: string | undefined): void {
     this.refused.add(request);
   }
 
-  /** Writes the line, where there is anything to tell and it is time. */
-  tell(now: number, open: number, reading: LoopReading): void {
-    if (now - this.toldAt < GATHER_MILLISECONDS) {
+  /** Writes the log line if it is due and there is anything to report. */
+  logIfDue(now: number, open: number, reading: EventLoopReading): void {
+    if (now - this.lastReportAt < REPORT_INTERVAL_MILLISECONDS) {
       return;
     }
     const isLate =
-      reading.busyMilliseconds >= LATE_MILLISECONDS ||
-      this.longestUnseen >= LATE_MILLISECONDS;
+      reading.busyMilliseconds >= LATE_THRESHOLD_MILLISECONDS ||
+      this.longestUnseen >= LATE_THRESHOLD_MILLISECONDS;
     if (isLate || !this.left.isEmpty || !this.refused.isEmpty) {
-      const left = this.left.take();
-      const refused = this.refused.take();
+      const left = this.left.takeAndReset();
+      const refused = this.refused.takeAndReset();
       this.events.warn('host late', {
         busyMilliseconds: Math.round(reading.busyMilliseconds),
         longestTurnMilliseconds: Math.round(this.longestTurn),
@@ -105,7 +114,7 @@
         refusedExamples: refused.examples,
       });
     }
-    this.toldAt = now;
+    this.lastReportAt = now;
     this.connections = 0;
     this.requests = 0;
     this.longestUnseen = 0;
--- a/packages/gateway/src/loop-watch.ts
+++ b/packages/gateway/src/loop-watch.ts
@@ -1,107 +1,118 @@
-/** What the event loop of a process did lately. */
-export interface LoopReading {
-  /** Length of the last turn that was watched, without idle time, milliseconds. */
+/** Recent activity of a process's event loop. */
+export interface EventLoopReading {
+  /** Duration of the last measured turn, without idle time, milliseconds. */
   readonly turnMilliseconds: number;
-  /** The loop has been at work without a pause for so long, milliseconds. */
+  /** How long the loop has been busy without a pause, milliseconds. */
   readonly busyMilliseconds: number;
 }
 
-/** A loop that waited for so long had worked off all that it knew of, milliseconds. */
-const PAUSE_MILLISECONDS = 2;
-/** A request begins this many turns after it was read: a close behind it shows by then. */
-const WATCHED_TURNS = 3;
+/**
+ * After an idle time of at least this, the loop had no pending work left,
+ * milliseconds.
+ */
+const MINIMUM_PAUSE_MILLISECONDS = 2;
+/**
+ * Turns from reading a request until it starts: a connection close that follows
+ * it has been read by then.
+ */
+const TURNS_PER_REQUEST = 3;
 
 /**
- * Watches the event loop while requests come, and never keeps an idle one awake.
+ * Measures event loop turns while requests arrive, and never keeps an idle loop
+ * awake.
  *
- * A busy loop looks at its sockets once a turn: what comes meanwhile waits unseen, and
- * no time that the process takes itself tells of it.
+ * A busy loop polls its sockets once per turn: a request that arrives in
+ * between waits unread, and no time that the process records itself shows that
+ * wait.
  *
  * @example
  * ```ts
- * const watch = new LoopWatch(
+ * const monitor = new EventLoopMonitor(
  *   () => performance.now(),
  *   () => performance.nodeTiming.idleTime,
- *   milliseconds => metrics.turn(milliseconds),
+ *   milliseconds => metrics.observeLoopTurn(milliseconds),
  * );
- * server.on('request', () => log(watch.requested()));
+ * server.on('request', () => log(monitor.requestRead()));
  * ```
  */
-export class LoopWatch {
-  private turnsToWatch = 0;
-  private isWatching = false;
-  /** When the sockets were looked at, as far as it is known. */
-  private lookedAt: number;
+export class EventLoopMonitor {
+  private turnsToMeasure = 0;
+  private isMeasuring = false;
+  /**
+   * Latest known poll of the sockets, on the monotonic clock in milliseconds.
+   */
+  private polledAt: number;
   private turnMilliseconds = 0;
   private idleAtPause: number;
-  private busyFrom: number;
+  private busySince: number;
 
   /**
    * @param now Monotonic clock, milliseconds.
-   * @param idle How long the loop has waited for events since its start, milliseconds.
-   * @param onTurn Takes the length of each turn that is watched, milliseconds.
+   * @param idle Total idle time of the loop since its start, milliseconds.
+   * @param onTurn Called with the duration of each measured turn, milliseconds.
    */
   constructor(
     private readonly now: () => number,
     private readonly idle: () => number,
     private readonly onTurn: (milliseconds: number) => void,
   ) {
-    this.lookedAt = now();
-    this.busyFrom = this.lookedAt;
+    this.polledAt = now();
+    this.busySince = this.polledAt;
     this.idleAtPause = idle();
   }
 
-  /** What is known at this moment. */
-  get reading(): LoopReading {
+  /** Current measurements. */
+  get reading(): EventLoopReading {
     return {
       turnMilliseconds: this.turnMilliseconds,
-      busyMilliseconds: this.now() - this.busyFrom,
+      busyMilliseconds: this.now() - this.busySince,
     };
   }
 
-  /** A connection was accepted. */
-  connected(): void {
-    this.notePause(this.now());
-    this.watch(1);
+  /** Records that a connection was accepted. */
+  connectionAccepted(): void {
+    this.recordPause(this.now());
+    this.measureTurns(1);
   }
 
-  /** Something is to be done in the next turn. */
-  working(): void {
-    this.notePause(this.now());
-    this.watch(2);
+  /** Records that work was scheduled for the next turn. */
+  workScheduled(): void {
+    this.recordPause(this.now());
+    this.measureTurns(2);
   }
 
   /**
-   * A request was read.
+   * Records that a request was read.
    *
-   * @returns How long it is likely to have waited in the process's sockets, milliseconds.
+   * @returns Estimated time that the request waited in the process's sockets,
+   *     milliseconds.
    */
-  requested(): number {
+  requestRead(): number {
     const now = this.now();
-    this.notePause(now);
-    const wait = this.likelyWait(now);
-    this.watch(WATCHED_TURNS);
+    this.recordPause(now);
+    const wait = this.estimatedWait(now);
+    this.measureTurns(TURNS_PER_REQUEST);
     return wait;
   }
 
-  private likelyWait(now: number): number {
-    if (this.busyFrom > this.lookedAt) {
-      return now - this.busyFrom;
+  private estimatedWait(now: number): number {
+    if (this.busySince > this.polledAt) {
+      return now - this.busySince;
     }
-    // It came somewhere between the last two looks at the sockets.
-    return now - this.lookedAt + this.turnMilliseconds / 2;
+    // The request arrived between the last two polls of the sockets.
+    return now - this.polledAt + this.turnMilliseconds / 2;
   }
 
-  private watch(turns: number): void {
-    this.turnsToWatch = Math.max(this.turnsToWatch, turns);
-    if (!this.isWatching) {
-      this.isWatching = true;
-      this.lookedAt = this.now();
-      this.endTurnLater();
+  private measureTurns(turns: number): void {
+    this.turnsToMeasure = Math.max(this.turnsToMeasure, turns);
+    if (!this.isMeasuring) {
+      this.isMeasuring = true;
+      this.polledAt = this.now();
+      this.scheduleTurnEnd();
     }
   }
 
-  private endTurnLater(): void {
+  private scheduleTurnEnd(): void {
     setImmediate(() => {
       this.turnEnded();
     });
@@ -109,23 +120,26 @@
 
   private turnEnded(): void {
     const now = this.now();
-    this.notePause(now);
-    this.turnMilliseconds = now - Math.max(this.lookedAt, this.busyFrom);
+    this.recordPause(now);
+    this.turnMilliseconds = now - Math.max(this.polledAt, this.busySince);
     this.onTurn(this.turnMilliseconds);
-    this.lookedAt = now;
-    this.turnsToWatch--;
-    this.isWatching = this.turnsToWatch > 0;
-    if (this.isWatching) {
-      this.endTurnLater();
+    this.polledAt = now;
+    this.turnsToMeasure--;
+    this.isMeasuring = this.turnsToMeasure > 0;
+    if (this.isMeasuring) {
+      this.scheduleTurnEnd();
     }
   }
 
-  /** After a pause nothing waits: the loop has looked at its sockets until now. */
-  private notePause(now: number): void {
+  /**
+   * Restarts the busy time after a pause: an idle loop polls its sockets
+   * continuously, so nothing waits in them.
+   */
+  private recordPause(now: number): void {
     const idle = this.idle();
-    if (idle - this.idleAtPause >= PAUSE_MILLISECONDS) {
+    if (idle - this.idleAtPause >= MINIMUM_PAUSE_MILLISECONDS) {
       this.idleAtPause = idle;
-      this.busyFrom = now;
+      this.busySince = now;
     }
   }
 }
--- a/packages/gateway/src/request-budget.ts
+++ b/packages/gateway/src/request-budget.ts
@@ -6,9 +6,9 @@
   TokenReservations,
 } from './token-reservations.js';
 
-/** The tokens of one request, from its beginning to its bill. */
+/** The token reservation of one request, from its start to settlement. */
 export class RequestBudget {
-  /** How long its answer was ready and waited for tokens, milliseconds. */
+  /** How long the available answer waited for tokens, milliseconds. */
   waitedMilliseconds = 0;
 
   constructor(
@@ -17,11 +17,12 @@
   ) {}
 
   /**
-   * Must have succeeded before any part of an answer is passed on.
+   * Acquires the reserved tokens; no part of an answer may be delivered before
+   * this has succeeded.
    *
-   * @returns Why it may not be; undefined where it may.
+   * @returns The reason for a refusal; undefined if the tokens were acquired.
    */
-  async take(
+  async acquireTokens(
     limit: DeliveryLimit,
     now: () => number,
   ): Promise<TakenReservation['refusal']> {
@@ -32,7 +33,9 @@
     return taken.refusal;
   }
 
-  /** Ends it with what the request used; once. */
+  /**
+   * Settles the reservation with the tokens used; must be called exactly once.
+   */
   settle(used: number): void {
     this.reservations.settle(this.reservation, used);
   }
--- a/packages/gateway/src/request-ending.ts
+++ b/packages/gateway/src/request-completion.ts
@@ -5,20 +5,22 @@
 import type {RequestRecord} from './request-record.js';
 import {BudgetRefusal} from './token-waiters.js';
 
-/** An endpoint's answer that was read to its end. */
-export interface WholeAnswer {
+/** An endpoint's answer with its complete body. */
+export interface BufferedAnswer {
   readonly head: AnswerHead;
   readonly body: Buffer;
   readonly hasLength: boolean;
 }
 
-/** A service without a free endpoint is worth asking again after this long. */
+/** Retry delay given to callers of a service that has no usable endpoint. */
 const RETRY_AFTER_MILLISECONDS = 300;
 
-/** Gives a request its final answer, once no endpoint is tried any more. */
-export class RequestEnding {
-  /** A whole answer of an endpoint, passed on if nothing better comes. */
-  private fallback: WholeAnswer | undefined;
+/** Sends a request's final answer once no further endpoint is tried. */
+export class RequestCompletion {
+  /**
+   * An endpoint's complete answer, sent if no later attempt gives a better one.
+   */
+  private fallback: BufferedAnswer | undefined;
 
   constructor(
     private readonly dialect: Dialect,
@@ -26,54 +28,58 @@
     private readonly record: RequestRecord,
   ) {}
 
-  /** Keeps a whole answer, in place of one before it. */
-  keep(answer: WholeAnswer): void {
+  /** Sets the fallback answer, replacing any earlier one. */
+  setFallback(answer: BufferedAnswer): void {
     this.fallback = answer;
   }
 
   /**
-   * Ends the request with what there is: an endpoint's own failure before an answer of
-   * the system's.
+   * Ends the request. A failure that an endpoint answered takes precedence over
+   * a local reply.
    *
-   * @param hasTimedOut Whether the caller's or the route's time is over.
+   * @param hasTimedOut Whether the caller's or the route's time limit has
+   *     passed.
    */
   giveUp(reason: OwnReason, hasTimedOut: boolean): void {
     const {caller} = this.context;
-    if (caller.leaving.aborted) {
+    if (caller.disconnectSignal.aborted) {
       this.record.outcome = 'caller-left';
     } else if (caller.isAnswering) {
-      caller.breakOff();
+      caller.destroyConnection();
       this.record.outcome = `cut: ${reason}`;
     } else if (this.fallback !== undefined) {
-      this.passOn(this.fallback);
+      this.forwardAnswer(this.fallback);
     } else {
-      this.answerOwn(this.ownAnswer(reason, hasTimedOut));
+      this.sendLocalReply(this.localReply(reason, hasTimedOut));
     }
   }
 
-  /** It has run, and nothing of its answer may be passed on. */
+  /**
+   * Ends a request that has run but whose answer must not be delivered, because
+   * its tokens were refused.
+   */
   refuseForBudget(refusal: BudgetRefusal, hasTimedOut: boolean): void {
     if (refusal === BudgetRefusal.Exhausted) {
-      this.answerOwn(failed(402, OwnReason.BudgetExhausted));
+      this.sendLocalReply(failed(402, OwnReason.BudgetExhausted));
     } else {
       this.giveUp(OwnReason.BudgetUnavailable, hasTimedOut);
     }
   }
 
-  private ownAnswer(reason: OwnReason, hasTimedOut: boolean): OwnAnswer {
+  private localReply(reason: OwnReason, hasTimedOut: boolean): OwnAnswer {
     if (!this.record.mayHaveRun) {
       return notRun(reason, RETRY_AFTER_MILLISECONDS);
     }
     return hasTimedOut ? failed(504, OwnReason.TimedOut) : failed(502, reason);
   }
 
-  private answerOwn(answer: OwnAnswer): void {
-    this.context.caller.answerOwn(answer);
+  private sendLocalReply(answer: OwnAnswer): void {
+    this.context.caller.sendLocalReply(answer);
     this.record.status = answer.status;
     this.record.outcome = `own: ${answer.reason}`;
   }
 
-  private passOn({head, body, hasLength}: WholeAnswer): void {
+  private forwardAnswer({head, body, hasLength}: BufferedAnswer): void {
     const {caller} = this.context;
     const headers = this.dialect.answerHeaders(head.rawHeaders);
     if (hasLength) {
--- a/packages/gateway/src/request-context.ts
+++ b/packages/gateway/src/request-context.ts
@@ -8,7 +8,7 @@
   type ServiceDescription,
 } from './configuration.js';
 
-/** A request that was admitted, with all that decides its way. */
+/** An admitted request with everything needed to place and run it. */
 export interface RequestContext {
   readonly caller: CallerExchange;
   readonly body: Buffer | undefined;
@@ -16,22 +16,28 @@
   readonly service: ServiceDescription;
   readonly organisation: Organisation | undefined;
   readonly configurationVersion: number;
-  /** The caller or the route waits no longer; monotonic milliseconds. */
+  /**
+   * When the caller or the route stops waiting, on the monotonic clock in
+   * milliseconds.
+   */
   readonly deadlineAt: number;
   readonly resends: ResendBudget;
-  readonly firstEvents: AnswerEstimate;
-  readonly wholeAnswers: AnswerEstimate;
+  readonly firstEventLatency: AnswerEstimate;
+  readonly bufferedAnswerLatency: AnswerEstimate;
 }
 
-/** Whether the request may run at a second endpoint after it may have run. */
-export function mayRepeat(route: Route): boolean {
+/**
+ * Whether a request may be sent to a second endpoint after it may have run at
+ * the first.
+ */
+export function isRepeatable(route: Route): boolean {
   return (
     route.kind === RouteKind.Idempotent ||
     (route.kind === RouteKind.Streaming && route.resumable)
   );
 }
 
-/** The most tokens that the request can use. */
-export function tokenBound(caller: CallerExchange): number {
+/** Upper bound on the tokens that the request can use. */
+export function maximumTokens(caller: CallerExchange): number {
   return caller.headers.promptTokens + caller.headers.maximumOutputTokens;
 }
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -25,34 +25,40 @@
   type OwnAnswer,
 } from './own-answer.js';
 import {RequestBudget} from './request-budget.js';
-import {tokenBound, type RequestContext} from './request-context.js';
+import {maximumTokens, type RequestContext} from './request-context.js';
 import {RequestRecord, UndeliveredCharge} from './request-record.js';
 import {RequestRun, type RunParts} from './request-run.js';
 import {ServiceStates} from './service-states.js';
 import type {StartGate} from './start-gate.js';
 import type {StoreHealth} from './store-health.js';
 
-/** Where a request may go, by the configuration in force. */
+/**
+ * The route and the organisation of an admitted request, by the configuration
+ * in force.
+ */
 interface Admission {
   readonly route: Route;
   readonly organisation: Organisation | undefined;
 }
 
-/** When an answer is wanted, from the request's first byte, milliseconds. */
-export interface Expectation {
-  /** It should have begun. */
+/**
+ * Time limits of an answer, counted from the request's first byte,
+ * milliseconds.
+ */
+export interface AnswerDeadlines {
+  /** The answer should have started by then. */
   readonly objectiveMilliseconds: number;
-  /** Nobody waits for it any longer. */
+  /** The caller or the route stops waiting for the answer. */
   readonly limitMilliseconds: number;
 }
 
-/** What a stream is likely to take until its first event, and for each token after it. */
-const STREAM_START_MILLISECONDS = 1_000;
-const TOKEN_MILLISECONDS = 12;
-/** Start of a configuration's effect takes this long at most. */
-const CONFIGURATION_RETRY_MILLISECONDS = 500;
+/** Estimated time to the first event of a stream, and per token after it. */
+const TYPICAL_STREAM_START_MILLISECONDS = 1_000;
+const TYPICAL_TOKEN_MILLISECONDS = 12;
+/** A configuration takes effect within this time. */
+const CONFIGURATION_RETRY_AFTER_MILLISECONDS = 500;
 
-/** Decides each caller's request: who it is, where it may go, what it may use. */
+/** Authenticates and routes each request, reserves its tokens and runs it. */
 export class RequestHandler {
   private readonly services: ServiceStates;
   private stop = new StopAdmission(Infinity, Infinity);
@@ -69,40 +75,43 @@
     private readonly metrics: GatewayMetrics,
     private readonly events: EventLog,
     private readonly gate: StartGate,
-    private readonly fraction: () => number,
+    private readonly randomFraction: () => number,
   ) {
     this.services = new ServiceStates(resendLimits);
   }
 
-  /** From now on requests are refused as not run that this does not admit. */
+  /** Starts refusing, as not run, requests that `stop` does not admit. */
   beginStop(stop: StopAdmission): void {
     this.stop = stop;
   }
 
-  /** Ends what runs with what there is. */
+  /** Ends all running requests with what they have so far. */
   cutRunning(): void {
     for (const run of this.running.keys()) {
       run.cut();
     }
   }
 
-  /** Resolves when what runs now is charged and billed. */
+  /** Resolves when the requests that run now are charged and billed. */
   async settled(): Promise<void> {
     await Promise.allSettled(this.running.values());
   }
 
-  /** Takes new bounds on resends; what was resent is forgotten with the old. */
-  limitResends(limits: ResendLimits): void {
-    this.services.limitResends(limits);
+  /** Replaces the limits on resends and resets the count of past resends. */
+  setResendLimits(limits: ResendLimits): void {
+    this.services.setResendLimits(limits);
   }
 
-  /** Takes how requests are charged that settle from now on. */
-  chargeUndelivered(charge: UndeliveredCharge): void {
+  /** Sets how requests that begin from now on are charged if undelivered. */
+  setUndeliveredCharge(charge: UndeliveredCharge): void {
     this.undeliveredCharge = charge;
   }
 
-  /** When a request's answer is wanted; undefined where no route is known for it. */
-  expectationOf(caller: CallerExchange): Expectation | undefined {
+  /**
+   * Time limits of a request's answer; undefined if no route matches or no
+   * configuration is in force.
+   */
+  answerDeadlines(caller: CallerExchange): AnswerDeadlines | undefined {
     const {headers, path} = caller;
     const configuration = this.configuration.current;
     const route =
@@ -117,7 +126,7 @@
         };
   }
 
-  /** Serves one request to its end; never rejects. */
+  /** Serves one request to its end. The promise never rejects. */
   async handle(caller: CallerExchange, load: LoadReport): Promise<void> {
     const record = new RequestRecord();
     try {
@@ -126,7 +135,7 @@
         this.refuse(caller, record, refusal);
       }
     } catch (error) {
-      this.fail(caller, record, error);
+      this.handleError(caller, record, error);
     }
     if (record.outcome === 'caller-left' && record.attempts.length === 0) {
       this.metrics.callerLeftUnserved();
@@ -135,8 +144,8 @@
     this.report(caller, record);
   }
 
-  /** A caller left before its request was begun. */
-  leftUnbegun(caller: CallerExchange, load: LoadReport): void {
+  /** Records that a caller left before its request was started. */
+  callerLeftBeforeStart(caller: CallerExchange, load: LoadReport): void {
     const record = new RequestRecord();
     record.outcome = 'caller-left';
     this.metrics.callerLeftUnserved();
@@ -147,10 +156,21 @@
     }
   }
 
-  /** Refuses a request that was not begun; its line is one with others. */
-  refuseUnbegun(caller: CallerExchange, load: LoadReport, after: number): void {
+  /**
+   * Refuses a request that was not started. It gets no log line of its own; the
+   * load report counts it.
+   */
+  refuseBeforeStart(
+    caller: CallerExchange,
+    load: LoadReport,
+    retryAfterMilliseconds: number,
+  ): void {
     const record = new RequestRecord();
-    this.refuse(caller, record, notRun(OwnReason.HostBehind, after));
+    this.refuse(
+      caller,
+      record,
+      notRun(OwnReason.HostBehind, retryAfterMilliseconds),
+    );
     this.metrics.requestEnded(record, this.ageOf(caller));
     load.requestRefused(caller.headers.attemptId);
   }
@@ -159,47 +179,50 @@
     caller: CallerExchange,
     record: RequestRecord,
   ): Promise<OwnAnswer | undefined> {
-    await this.gate.passed();
+    await this.gate.whenOpen();
     const configuration = this.configuration.current;
     if (configuration === undefined) {
       return notRun(
         OwnReason.NoConfiguration,
-        CONFIGURATION_RETRY_MILLISECONDS,
+        CONFIGURATION_RETRY_AFTER_MILLISECONDS,
       );
     }
     if (caller.headerBytes > configuration.limits.headerBytes) {
-      caller.closeAfterwards();
+      caller.disableKeepAlive();
       return failed(431, OwnReason.HeadersTooLarge);
     }
     const body = await caller.readBody(configuration.limits.bodyBytes);
-    await caller.closeSeen();
-    if (caller.leaving.aborted) {
+    await caller.waitForCloseDetection();
+    if (caller.disconnectSignal.aborted) {
       record.outcome = 'caller-left';
       return undefined;
     }
-    // A version may have come into force while the body was read.
+    // A newer version may have come into force while the body was read.
     const inForce = this.configuration.current ?? configuration;
     const admitted = admit(caller, inForce);
     if ('status' in admitted) {
       return admitted;
     }
-    if (!this.endsInTime(caller, admitted.route)) {
+    if (!this.canEndBeforeStop(caller, admitted.route)) {
       return notRun(OwnReason.Stopping, STOPPING_RETRY_MILLISECONDS);
     }
     const context = this.contextOf(caller, body, inForce, admitted);
     return context === undefined
-      ? notRun(OwnReason.NoEndpoint, CONFIGURATION_RETRY_MILLISECONDS)
+      ? notRun(OwnReason.NoEndpoint, CONFIGURATION_RETRY_AFTER_MILLISECONDS)
       : this.runWithinBudget(context, record);
   }
 
-  /** Whether a request that begins now ends before a graceful stop does. */
-  private endsInTime(caller: CallerExchange, route: Route): boolean {
+  /**
+   * Whether a request that starts now is expected to end before the graceful
+   * stop does.
+   */
+  private canEndBeforeStop(caller: CallerExchange, route: Route): boolean {
     const now = this.parts.clock.monotonicMilliseconds();
     const longestMilliseconds = deadlineOf(caller, route) - now;
     const likelyMilliseconds =
       route.kind === RouteKind.Streaming
-        ? STREAM_START_MILLISECONDS +
-          caller.headers.maximumOutputTokens * TOKEN_MILLISECONDS
+        ? TYPICAL_STREAM_START_MILLISECONDS +
+          caller.headers.maximumOutputTokens * TYPICAL_TOKEN_MILLISECONDS
         : longestMilliseconds;
     return this.stop.admits(now, {likelyMilliseconds, longestMilliseconds});
   }
@@ -210,12 +233,13 @@
     configuration: FleetConfiguration,
     {route, organisation}: Admission,
   ): RequestContext | undefined {
-    const name = pickService(route, this.fraction());
+    const name = pickService(route, this.randomFraction());
     const service = configuration.services.get(name ?? '');
     if (service === undefined) {
       return undefined;
     }
-    const {resends, firstEvents, wholeAnswers} = this.services.of(service.name);
+    const {resends, firstEventLatency, bufferedAnswerLatency} =
+      this.services.stateOf(service.name);
     resends.requested(this.parts.clock.monotonicMilliseconds());
     return {
       caller,
@@ -226,8 +250,8 @@
       configurationVersion: configuration.version,
       deadlineAt: deadlineOf(caller, route),
       resends,
-      firstEvents,
-      wholeAnswers,
+      firstEventLatency,
+      bufferedAnswerLatency,
     };
   }
 
@@ -236,9 +260,10 @@
     record: RequestRecord,
   ): Promise<OwnAnswer | undefined> {
     const {caller, organisation} = context;
-    const bound = tokenBound(caller);
+    const bound = maximumTokens(caller);
     record.organisation = organisation?.name;
-    // Settings may change while it runs: what it began with holds to its end.
+    // Settings may change while the request runs; it keeps the charge it
+    // started with.
     const charge = this.undeliveredCharge;
     const reserved = await this.budgets.reservations.reserve(
       organisation?.name ?? '',
@@ -250,7 +275,7 @@
       },
     );
     if ('refusal' in reserved) {
-      this.events.info('refused for budget', {
+      this.events.info('request refused for budget', {
         request: caller.headers.attemptId,
         organisation: organisation?.name,
         bound,
@@ -293,8 +318,8 @@
         context.service.tokensPerEvent,
         charge,
       );
-      record.used = used;
-      record.waitedForTokens = budget.waitedMilliseconds;
+      record.chargedTokens = used;
+      record.tokenWaitMilliseconds = budget.waitedMilliseconds;
       budget.settle(used);
       this.bill(context, record, used);
     }
@@ -325,31 +350,31 @@
     record: RequestRecord,
     answer: OwnAnswer,
   ): void {
-    caller.answerOwn(answer);
+    caller.sendLocalReply(answer);
     record.status = answer.status;
     record.outcome = `own: ${answer.reason}`;
   }
 
-  private fail(
+  private handleError(
     caller: CallerExchange,
     record: RequestRecord,
     error: unknown,
   ): void {
-    if (caller.leaving.aborted) {
+    if (caller.disconnectSignal.aborted) {
       record.outcome = 'caller-left';
       return;
     }
     if (error instanceof BodyTooLargeError) {
-      caller.closeAfterwards();
+      caller.disableKeepAlive();
       this.refuse(caller, record, failed(413, OwnReason.BodyTooLarge));
       return;
     }
-    this.events.error('request failed inside', {
+    this.events.error('internal error in request', {
       request: caller.headers.attemptId,
       reason: error instanceof Error ? (error.stack ?? '') : String(error),
     });
     if (caller.isAnswering) {
-      caller.breakOff();
+      caller.destroyConnection();
       return;
     }
     this.refuse(caller, record, failed(500, OwnReason.Internal));
@@ -360,23 +385,23 @@
   }
 
   private report(caller: CallerExchange, record: RequestRecord): void {
-    const took = this.ageOf(caller);
-    this.metrics.requestEnded(record, took);
+    const durationMilliseconds = this.ageOf(caller);
+    this.metrics.requestEnded(record, durationMilliseconds);
     this.events.info('request', {
       request: caller.headers.attemptId,
       path: caller.path,
       isFirst: caller.isFirst,
       outcome: record.outcome,
       status: record.status,
-      tookMilliseconds: Math.round(took),
+      tookMilliseconds: Math.round(durationMilliseconds),
       unseenMilliseconds: Math.round(caller.unseenMilliseconds),
       organisation: record.organisation,
-      bound: tokenBound(caller),
-      used: record.used,
+      bound: maximumTokens(caller),
+      used: record.chargedTokens,
       events: record.eventsDelivered,
       firstEventMilliseconds: sinceArrival(record.firstEventAt, caller),
-      longestPauseMilliseconds: Math.round(record.longestPause),
-      waitedForTokensMilliseconds: Math.round(record.waitedForTokens),
+      longestPauseMilliseconds: Math.round(record.longestPauseMilliseconds),
+      waitedForTokensMilliseconds: Math.round(record.tokenWaitMilliseconds),
       configuration: this.configuration.current?.version,
       attempts: record.attempts
         .map(
@@ -388,9 +413,9 @@
   }
 }
 
-/** When a request ends in any case, on the monotonic clock. */
+/** Deadline of a request on the monotonic clock, milliseconds. */
 function deadlineOf(caller: CallerExchange, route: Route): number {
-  return caller.cameAt + limitOf(caller, route);
+  return caller.estimatedArrivalAt + limitOf(caller, route);
 }
 
 function limitOf({headers}: CallerExchange, route: Route): number {
--- a/packages/gateway/src/request-record.ts
+++ b/packages/gateway/src/request-record.ts
@@ -1,57 +1,66 @@
-/** One endpoint that a request was sent to, for its log line. */
+/** One attempt of a request at an endpoint, for the request's log line. */
 export interface AttemptRecord {
   readonly endpoint: string;
   readonly atMilliseconds: number;
   readonly result: string;
 }
 
-/** What a request costs that may have run and of which nothing was delivered. */
+/** Charge for a request that may have run but had nothing delivered. */
 export enum UndeliveredCharge {
-  /** Its organisation got nothing, and pays nothing. */
+  /** The organisation got nothing and is charged nothing. */
   Nothing = 'nothing',
-  /** Its prompt, as the endpoint may have read it. */
+  /** The prompt is charged, because the endpoint may have processed it. */
   Prompt = 'prompt',
 }
 
-/** What became of a request, for its log line, metrics and bill. */
+/** The outcome of a request, for its log line, metrics and bill. */
 export class RequestRecord {
   readonly attempts: AttemptRecord[] = [];
-  /** True from the first dispatch on that may have reached an endpoint. */
+  /** True once a dispatch may have reached an endpoint. */
   mayHaveRun = false;
-  /** Whole events that were passed on. */
+  /** Number of complete events delivered to the caller. */
   eventsDelivered = 0;
-  /** Identifier of the last event passed on. */
+  /** Identifier of the last event delivered. */
   lastEventId: string | undefined;
   outcome = 'open';
   status = 0;
   endpoint = '';
   organisation: string | undefined;
-  /** Tokens charged in the end. */
-  used = 0;
-  /** How long an answer that was ready waited for its tokens, milliseconds. */
-  waitedForTokens = 0;
+  /** Tokens charged when the request settled. */
+  chargedTokens = 0;
+  /** How long an available answer waited for its tokens, milliseconds. */
+  tokenWaitMilliseconds = 0;
 
-  /** True once a part of an endpoint's answer was given to the caller. */
+  /** Whether any part of an endpoint's answer was delivered to the caller. */
   hasDelivered = false;
-  /** When the first event was passed on; undefined before, milliseconds. */
+  /**
+   * When the first event was delivered, on the monotonic clock in milliseconds;
+   * undefined before that.
+   */
   firstEventAt: number | undefined;
-  /** The longest time between two events that were passed on, milliseconds. */
-  longestPause = 0;
+  /** Longest time between two delivered events, milliseconds. */
+  longestPauseMilliseconds = 0;
   private lastEventAt = 0;
 
-  /** An event is passed on. */
-  eventPassed(now: number): void {
+  /** Records the delivery of an event. */
+  eventDelivered(now: number): void {
     this.eventsDelivered++;
     this.hasDelivered = true;
     if (this.firstEventAt === undefined) {
       this.firstEventAt = now;
     } else {
-      this.longestPause = Math.max(this.longestPause, now - this.lastEventAt);
+      this.longestPauseMilliseconds = Math.max(
+        this.longestPauseMilliseconds,
+        now - this.lastEventAt,
+      );
     }
     this.lastEventAt = now;
   }
 
-  /** Whole tokens used: input once, and the output that was delivered. */
+  /**
+   * Tokens to charge, as a whole number: the input once, and the output that
+   * was delivered.
+   */
   usedTokens(
     promptTokens: number,
     maximumOutputTokens: number,
--- a/packages/gateway/src/request-run.ts
+++ b/packages/gateway/src/request-run.ts
@@ -6,71 +6,83 @@
 } from '@wisteriadeal/platform';
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import {AnswerPatience} from './answer-patience.js';
+import {AnswerTimeouts} from './answer-timeouts.js';
 import {RouteKind} from './configuration.js';
 import type {Dialect} from './dialect.js';
 import {EndpointChooser} from './endpoint-chooser.js';
 import {
-  LONGEST_CERTAIN_IDLE_MILLISECONDS,
-  type EndpointConnections,
-} from './endpoint-connections.js';
+  MAXIMUM_SAFE_IDLE_MILLISECONDS,
+  type EndpointConnectionPool,
+} from './endpoint-connection-pool.js';
 import type {EndpointDirectory, KnownEndpoint} from './endpoint-directory.js';
 import {
   EndpointExchange,
-  ExchangeFate,
+  FailureKind,
   isFailure,
   type AnswerHead,
   type ExchangeFailure,
 } from './endpoint-exchange.js';
 import {OwnReason} from './own-answer.js';
 import type {RequestBudget} from './request-budget.js';
-import {mayRepeat, type RequestContext} from './request-context.js';
-import {RequestEnding} from './request-ending.js';
+import {isRepeatable, type RequestContext} from './request-context.js';
+import {RequestCompletion} from './request-completion.js';
 import type {RequestRecord} from './request-record.js';
-import type {SilenceWatch} from './silence-watch.js';
-import {RelayEnd, relayStream} from './stream-relay.js';
+import type {InactivityMonitor} from './silence-watch.js';
+import {RelayResult, relayStream} from './stream-relay.js';
 import type {BudgetRefusal} from './token-waiters.js';
 
-/** What all runs of a process share. */
+/** Dependencies shared by all request runs of a process. */
 export interface RunParts {
   readonly dialect: Dialect;
-  readonly connections: EndpointConnections;
+  readonly connections: EndpointConnectionPool;
   readonly link: HostLink;
   readonly directory: EndpointDirectory;
   readonly clock: Clock;
   readonly events: EventLog;
   readonly dataCenter: string;
   readonly dataCenters: DataCenterTrust;
-  /** Hosts that share the bound on resends. */
-  hosts(): number;
+  /** Number of hosts that share the resend budget. */
+  hostCount(): number;
 }
 
-/** What follows an attempt: the request has ended, or another endpoint is tried. */
-enum Next {
+/**
+ * What to do after an attempt: the request has ended, or another endpoint is
+ * tried.
+ */
+enum NextStep {
   Ended,
-  Again,
+  Retry,
 }
 
-/** Unreachable endpoints are passed over so often; each try costs the time of a connection. */
-const MOST_UNREACHABLE = 3;
-/** Less time than this is not worth another attempt, milliseconds. */
-const SHORTEST_ATTEMPT_MILLISECONDS = 20;
-/** A tenant's urgency goes before a route's; ten levels are left to endpoints. */
-const ROUTE_LEVELS = 3;
-const LAST_PRIORITY = 9;
+/**
+ * Unreachable endpoints tried before the request is given up; each try costs a
+ * connect timeout.
+ */
+const MAXIMUM_UNREACHABLE_ENDPOINTS = 3;
+/**
+ * No attempt is started with less time than this left until the deadline,
+ * milliseconds.
+ */
+const MINIMUM_ATTEMPT_MILLISECONDS = 20;
+/**
+ * Priority levels for routes within each priority of an organisation, which
+ * takes precedence; endpoints accept ten levels in all.
+ */
+const ROUTE_PRIORITY_LEVELS = 3;
+const LOWEST_PRIORITY = 9;
 
-/** Takes one request to endpoints until it has a final answer. */
+/** Sends one request to endpoints until it has a final answer. */
 export class RequestRun {
   private readonly avoided = new Set<string>();
   private readonly chooser: EndpointChooser;
-  private readonly patience: AnswerPatience;
-  private readonly ending: RequestEnding;
-  private sentTo = 0;
-  private unreachable = 0;
+  private readonly timeouts: AnswerTimeouts;
+  private readonly completion: RequestCompletion;
+  private attemptCount = 0;
+  private unreachableCount = 0;
   private current: EndpointExchange | undefined;
   private hasTimedOut = false;
-  private hasClaimedMove = false;
-  /** Ends the wait for tokens: the caller has left, or the run is cut. */
+  private hasClaimedFailover = false;
+  /** Aborts the wait for tokens when the caller has left or the run is cut. */
   private readonly tokenWait = new AbortController();
 
   constructor(
@@ -86,47 +98,49 @@
       clock,
       dataCenter,
     );
-    this.ending = new RequestEnding(parts.dialect, context, record);
-    this.patience = new AnswerPatience(context, dataCenters, clock, parts.link);
+    this.completion = new RequestCompletion(parts.dialect, context, record);
+    this.timeouts = new AnswerTimeouts(context, dataCenters, clock, parts.link);
   }
 
-  /** Ends when the caller has its answer, was told why not, or has left. */
+  /** Resolves when the caller has its answer or a local reply, or has left. */
   async run(): Promise<void> {
     const {caller, deadlineAt} = this.context;
-    const onLeave = () => {
+    const onDisconnect = () => {
       this.current?.cancel('caller left');
       this.tokenWait.abort();
     };
-    caller.leaving.addEventListener('abort', onLeave);
-    const left = Math.max(0, deadlineAt - this.now());
-    const timeout = new NetworkTimeout(left, () => {
+    caller.disconnectSignal.addEventListener('abort', onDisconnect);
+    const remaining = Math.max(0, deadlineAt - this.now());
+    const timeout = new NetworkTimeout(remaining, () => {
       this.hasTimedOut = true;
       this.current?.cancel('deadline');
     });
     try {
-      while ((await this.attempt()) === Next.Again) {
-        // The next endpoint is chosen afresh.
+      while ((await this.attempt()) === NextStep.Retry) {
+        // Each attempt selects an endpoint from the current state.
       }
     } finally {
       timeout.close();
-      caller.leaving.removeEventListener('abort', onLeave);
+      caller.disconnectSignal.removeEventListener('abort', onDisconnect);
     }
   }
 
-  /** Ends it with what there is: the process that runs it ends. */
+  /**
+   * Ends the request with what it has so far, because the process is stopping.
+   */
   cut(): void {
     this.hasTimedOut = true;
     this.current?.cancel('stopping');
     this.tokenWait.abort();
   }
 
-  private async attempt(): Promise<Next> {
+  private async attempt(): Promise<NextStep> {
     const {caller} = this.context;
-    if (caller.leaving.aborted) {
+    if (caller.disconnectSignal.aborted) {
       this.record.outcome = 'caller-left';
-      return Next.Ended;
+      return NextStep.Ended;
     }
-    if (this.hasTimedOut || this.remaining() < SHORTEST_ATTEMPT_MILLISECONDS) {
+    if (this.hasTimedOut || this.remaining() < MINIMUM_ATTEMPT_MILLISECONDS) {
       return this.giveUp(OwnReason.DeadlinePassed);
     }
     const endpoint = this.chooser.choose(this.context, this.avoided);
@@ -134,47 +148,53 @@
       return this.giveUp(OwnReason.NoEndpoint);
     }
     const exchange = this.dispatch(endpoint);
-    const watch = this.patience.watch(endpoint, exchange, this.mayMove(), () =>
-      this.claimMove(),
+    const monitor = this.timeouts.startMonitor(
+      endpoint,
+      exchange,
+      this.canFailOver(),
+      () => this.claimFailover(),
     );
     this.current = exchange;
     try {
       const head = await exchange.head();
-      this.noteAnswer(endpoint, head, watch);
+      this.recordAnswer(endpoint, head, monitor);
       const next = isFailure(head)
         ? this.afterFailure(endpoint, head)
-        : await this.afterHead(endpoint, exchange, head, watch);
+        : await this.afterHead(endpoint, exchange, head, monitor);
       return next;
     } finally {
-      watch.close();
-      this.patience.learn(watch);
+      monitor.close();
+      this.timeouts.recordFirstByteTime(monitor);
       endpoint.load--;
       this.parts.dataCenters.released(endpoint.entry.dataCenter);
       this.current = undefined;
     }
   }
 
-  /** Whether the stream may go on at another endpoint after this one. */
-  private mayMove(): boolean {
+  /**
+   * Whether the request may fail over to another endpoint after this attempt.
+   */
+  private canFailOver(): boolean {
     const {route} = this.context;
-    return mayRepeat(route) && this.sentTo + 1 < route.maximumAttempts;
+    return isRepeatable(route) && this.attemptCount + 1 < route.maximumAttempts;
   }
 
   /**
-   * Takes the fleet's permission to go on elsewhere. Without one, or without an
-   * endpoint to go to, an answer that is only late would be cut.
+   * Claims a resend from the fleet-wide budget for a failover. Without one, or
+   * without another endpoint, cancelling an answer that is only late would cut
+   * it.
    */
-  private claimMove(): boolean {
+  private claimFailover(): boolean {
     const other = this.chooser.choose(this.context, this.avoided);
-    this.hasClaimedMove =
+    this.hasClaimedFailover =
       other !== undefined &&
       !this.avoided.has(other.entry.id) &&
-      this.takeResend();
-    return this.hasClaimedMove;
+      this.claimResend();
+    return this.hasClaimedFailover;
   }
 
-  private takeResend(): boolean {
-    return this.context.resends.take(this.parts.hosts(), this.now());
+  private claimResend(): boolean {
+    return this.context.resends.take(this.parts.hostCount(), this.now());
   }
 
   private dispatch(endpoint: KnownEndpoint): EndpointExchange {
@@ -189,9 +209,9 @@
     });
     endpoint.load++;
     if (endpoint.trust.isOnTrial) {
-      connections.dropIdle(endpoint.entry);
-    } else if (!mayRepeat(this.context.route)) {
-      connections.dropIdle(endpoint.entry, LONGEST_CERTAIN_IDLE_MILLISECONDS);
+      connections.closeIdle(endpoint.entry);
+    } else if (!isRepeatable(this.context.route)) {
+      connections.closeIdle(endpoint.entry, MAXIMUM_SAFE_IDLE_MILLISECONDS);
     }
     endpoint.trust.sent();
     this.parts.dataCenters.sent(endpoint.entry.dataCenter);
@@ -206,21 +226,24 @@
     });
   }
 
-  /** Whatever an endpoint answers, it speaks; a refusal tells nothing of its pace. */
-  private noteAnswer(
+  /**
+   * Records that the endpoint responded. The response time of a refusal is not
+   * used as a latency sample, as it does not show how fast the endpoint serves.
+   */
+  private recordAnswer(
     endpoint: KnownEndpoint,
     head: AnswerHead | ExchangeFailure,
-    watch: SilenceWatch,
+    monitor: InactivityMonitor,
   ): void {
     const hasRefused =
       isFailure(head) &&
-      (head.fate === ExchangeFate.NotRun ||
-        head.fate === ExchangeFate.WrongEndpoint);
+      (head.kind === FailureKind.NotRun ||
+        head.kind === FailureKind.WrongEndpoint);
     if (!isFailure(head)) {
-      if (!head.said.closesConnection) {
-        endpoint.confirmOpen(this.now() - watch.elapsedMilliseconds);
+      if (!head.endpointHeaders.closesConnection) {
+        endpoint.confirmOpen(this.now() - monitor.elapsedMilliseconds);
       }
-      watch.answered();
+      monitor.headReceived();
     }
     if (!isFailure(head) || hasRefused) {
       endpoint.trust.spoke();
@@ -231,18 +254,18 @@
   private afterFailure(
     endpoint: KnownEndpoint,
     failure: ExchangeFailure,
-  ): Next {
-    const {fate, reason} = failure;
-    this.note(endpoint, `${fate}: ${reason}`);
-    if (fate === ExchangeFate.NotRun) {
+  ): NextStep {
+    const {kind, reason} = failure;
+    this.recordAttempt(endpoint, `${kind}: ${reason}`);
+    if (kind === FailureKind.NotRun) {
       endpoint.trust.released();
-      return this.tryAgain(OwnReason.EndpointsRefused, true);
+      return this.retryOrGiveUp(OwnReason.EndpointsRefused, true);
     }
-    if (fate === ExchangeFate.WrongEndpoint) {
+    if (kind === FailureKind.WrongEndpoint) {
       this.parts.directory.remove(endpoint, reason);
-      return this.tryAgain(OwnReason.EndpointsRefused, true);
+      return this.retryOrGiveUp(OwnReason.EndpointsRefused, true);
     }
-    if (fate === ExchangeFate.NotSent) {
+    if (kind === FailureKind.NotSent) {
       return this.afterNotSent(endpoint, failure);
     }
     this.record.mayHaveRun = true;
@@ -251,30 +274,31 @@
 
   private afterNotSent(
     endpoint: KnownEndpoint,
-    {isLinkDelay}: ExchangeFailure,
-  ): Next {
-    if (this.isOver() || isLinkDelay === true) {
+    {mayBeLinkDelay}: ExchangeFailure,
+  ): NextStep {
+    if (this.isAbandoned() || mayBeLinkDelay === true) {
       endpoint.trust.released();
     } else {
       const {dataCenter, id} = endpoint.entry;
       endpoint.trust.broke(this.now());
       this.parts.dataCenters.fellSilent(dataCenter, id, this.now());
     }
-    this.unreachable++;
-    return this.unreachable < MOST_UNREACHABLE && !this.isOver()
-      ? Next.Again
+    this.unreachableCount++;
+    return this.unreachableCount < MAXIMUM_UNREACHABLE_ENDPOINTS &&
+      !this.isAbandoned()
+      ? NextStep.Retry
       : this.giveUp(OwnReason.EndpointsUnreachable);
   }
 
-  /** The endpoint got the request and no whole answer came back. */
-  private afterBroken(endpoint: KnownEndpoint): Next {
-    if (this.isOver()) {
+  /** Handles a request that reached the endpoint but got no complete answer. */
+  private afterBroken(endpoint: KnownEndpoint): NextStep {
+    if (this.isAbandoned()) {
       endpoint.trust.released();
       return this.giveUp(OwnReason.TimedOut);
     }
     endpoint.trust.broke(this.now());
-    return mayRepeat(this.context.route)
-      ? this.tryAgain(OwnReason.AnswerLost, false)
+    return isRepeatable(this.context.route)
+      ? this.retryOrGiveUp(OwnReason.AnswerLost, false)
       : this.giveUp(OwnReason.AnswerLost);
   }
 
@@ -282,64 +306,66 @@
     endpoint: KnownEndpoint,
     exchange: EndpointExchange,
     head: AnswerHead,
-    watch: SilenceWatch,
-  ): Promise<Next> {
+    monitor: InactivityMonitor,
+  ): Promise<NextStep> {
     this.record.mayHaveRun = true;
-    if (head.status < 300 && !head.said.hasProof) {
-      exchange.cancel('success without proof');
-      this.note(endpoint, 'success without proof');
+    if (head.status < 300 && !head.endpointHeaders.hasProof) {
+      exchange.cancel('success status without endpoint proof');
+      this.recordAttempt(endpoint, 'success status without endpoint proof');
       return this.afterBroken(endpoint);
     }
     const isStream =
       this.context.route.kind === RouteKind.Streaming && head.status === 200;
     return isStream
-      ? this.passStream(endpoint, exchange, head, watch)
-      : this.passWhole(endpoint, exchange, head);
+      ? this.relayEventStream(endpoint, exchange, head, monitor)
+      : this.relayBufferedAnswer(endpoint, exchange, head);
   }
 
-  private async passWhole(
+  private async relayBufferedAnswer(
     endpoint: KnownEndpoint,
     exchange: EndpointExchange,
     head: AnswerHead,
-  ): Promise<Next> {
-    const body = await exchange.wholeBody();
+  ): Promise<NextStep> {
+    const body = await exchange.readBody();
     if (body === undefined) {
-      this.note(endpoint, exchange.failureReason);
+      this.recordAttempt(endpoint, exchange.failureReason);
       return this.afterBroken(endpoint);
     }
-    this.note(endpoint, `answered ${head.status}`);
+    this.recordAttempt(endpoint, `answered ${head.status}`);
     if (head.status >= 500) {
       endpoint.trust.answeredFailure();
     } else {
       endpoint.trust.succeeded();
     }
-    const refusal = await this.takeTokens();
+    const refusal = await this.acquireTokens();
     if (refusal !== undefined) {
-      this.ending.refuseForBudget(refusal, this.hasTimedOut);
-      return Next.Ended;
+      this.completion.refuseForBudget(refusal, this.hasTimedOut);
+      return NextStep.Ended;
     }
-    this.ending.keep({head, body, hasLength: exchange.hasLength});
-    const isWorthAnother =
-      head.status >= 500 && mayRepeat(this.context.route) && !this.isOver();
-    return isWorthAnother
-      ? this.tryAgain(OwnReason.AnswerLost, false)
+    this.completion.setFallback({head, body, hasLength: exchange.hasLength});
+    const shouldRetry =
+      head.status >= 500 &&
+      isRepeatable(this.context.route) &&
+      !this.isAbandoned();
+    return shouldRetry
+      ? this.retryOrGiveUp(OwnReason.AnswerLost, false)
       : this.giveUp(OwnReason.AnswerLost);
   }
 
-  private async passStream(
+  private async relayEventStream(
     endpoint: KnownEndpoint,
     exchange: EndpointExchange,
     head: AnswerHead,
-    watch: SilenceWatch,
-  ): Promise<Next> {
+    monitor: InactivityMonitor,
+  ): Promise<NextStep> {
     const {caller} = this.context;
-    const refusal = await this.takeTokens();
+    const refusal = await this.acquireTokens();
     if (refusal !== undefined) {
-      exchange.cancel('no tokens');
-      this.note(endpoint, `no tokens: ${refusal}`);
+      exchange.cancel('tokens refused');
+      this.recordAttempt(endpoint, `tokens refused: ${refusal}`);
       endpoint.trust.succeeded();
-      this.ending.refuseForBudget(refusal, this.hasTimedOut);
-      return Next.Ended;
+      this.completion.refuseForBudget(refusal, this.hasTimedOut);
+      return NextStep.Ended;
     }
     if (!caller.isAnswering) {
       caller.beginStream(
@@ -348,30 +374,37 @@
       );
       this.record.status = head.status;
     }
-    watch.reading();
-    const end = await relayStream(exchange, caller, this.record, watch, () =>
-      this.now(),
+    monitor.bodyStarted();
+    const result = await relayStream(
+      exchange,
+      caller,
+      this.record,
+      monitor,
+      () => this.now(),
     );
-    if (end === RelayEnd.Whole) {
-      this.note(endpoint, 'whole stream');
+    if (result === RelayResult.Complete) {
+      this.recordAttempt(endpoint, 'complete stream');
       endpoint.trust.succeeded();
       caller.endStream();
       this.record.outcome = 'answered';
-      return Next.Ended;
+      return NextStep.Ended;
     }
-    exchange.cancel('not needed any more');
-    this.note(endpoint, `${end}: ${exchange.failureReason}`);
-    if (end === RelayEnd.CallerLeft) {
+    exchange.cancel('stream no longer relayed');
+    this.recordAttempt(endpoint, `${result}: ${exchange.failureReason}`);
+    if (result === RelayResult.CallerLeft) {
       endpoint.trust.released();
       this.record.outcome = 'caller-left';
-      return Next.Ended;
+      return NextStep.Ended;
     }
     return this.afterBroken(endpoint);
   }
 
-  /** Takes the tokens that were promised; waits while others may still give them. */
-  private takeTokens(): Promise<BudgetRefusal | undefined> {
-    return this.budget.take(
+  /**
+   * Acquires the tokens reserved for this request; waits while other holders
+   * may still provide them.
+   */
+  private acquireTokens(): Promise<BudgetRefusal | undefined> {
+    return this.budget.acquireTokens(
       {
         milliseconds: Math.max(0, this.remaining()),
         signal: this.tokenWait.signal,
@@ -380,34 +413,38 @@
     );
   }
 
-  /** Another endpoint, where the route, the fleet's bound and the time allow it. */
-  private tryAgain(reason: OwnReason, isNotRun: boolean): Next {
-    this.sentTo++;
+  /**
+   * Retries at another endpoint if the route, the fleet's resend budget and the
+   * remaining time allow it.
+   */
+  private retryOrGiveUp(reason: OwnReason, isNotRun: boolean): NextStep {
+    this.attemptCount++;
     const {route} = this.context;
-    const hasClaimed = this.hasClaimedMove;
-    this.hasClaimedMove = false;
+    const hasClaimed = this.hasClaimedFailover;
+    this.hasClaimedFailover = false;
     const mayResend =
-      !this.isOver() &&
-      this.sentTo < route.maximumAttempts &&
-      this.remaining() > SHORTEST_ATTEMPT_MILLISECONDS &&
-      (isNotRun || mayRepeat(route)) &&
-      (hasClaimed || this.takeResend());
-    return mayResend ? Next.Again : this.giveUp(reason);
+      !this.isAbandoned() &&
+      this.attemptCount < route.maximumAttempts &&
+      this.remaining() > MINIMUM_ATTEMPT_MILLISECONDS &&
+      (isNotRun || isRepeatable(route)) &&
+      (hasClaimed || this.claimResend());
+    return mayResend ? NextStep.Retry : this.giveUp(reason);
   }
 
-  private giveUp(reason: OwnReason): Next {
-    this.ending.giveUp(reason, this.hasTimedOut);
-    return Next.Ended;
+  private giveUp(reason: OwnReason): NextStep {
+    this.completion.giveUp(reason, this.hasTimedOut);
+    return NextStep.Ended;
   }
 
   private priority(): number {
     const {organisation, route} = this.context;
-    const routeLevel = Math.min(route.priority, ROUTE_LEVELS - 1);
-    const level = (organisation?.priority ?? 0) * ROUTE_LEVELS + routeLevel;
-    return Math.min(LAST_PRIORITY, Math.max(0, level));
+    const routeLevel = Math.min(route.priority, ROUTE_PRIORITY_LEVELS - 1);
+    const level =
+      (organisation?.priority ?? 0) * ROUTE_PRIORITY_LEVELS + routeLevel;
+    return Math.min(LOWEST_PRIORITY, Math.max(0, level));
   }
 
-  private note(endpoint: KnownEndpoint, result: string): void {
+  private recordAttempt(endpoint: KnownEndpoint, result: string): void {
     this.record.attempts.push({
       endpoint: endpoint.entry.id,
       atMilliseconds: Math.round(this.now() - this.context.caller.arrivedAt),
@@ -415,9 +452,12 @@
     });
   }
 
-  /** The caller has left or its time is over: no endpoint is to blame. */
-  private isOver(): boolean {
-    return this.hasTimedOut || this.context.caller.leaving.aborted;
+  /**
+   * Whether the caller has left or the deadline has passed, so that no endpoint
+   * is at fault.
+   */
+  private isAbandoned(): boolean {
+    return this.hasTimedOut || this.context.caller.disconnectSignal.aborted;
   }
 
   private remaining(): number {
--- a/packages/gateway/src/service-states.ts
+++ b/packages/gateway/src/service-states.ts
@@ -4,37 +4,37 @@
   type ResendLimits,
 } from '@wisteriadeal/decisions';
 
-/** What this host has seen of one service's requests. */
+/** This host's statistics of one service's requests. */
 export interface ServiceState {
   readonly resends: ResendBudget;
-  /** First events of streams. */
-  readonly firstEvents: AnswerEstimate;
-  /** Whole answers. */
-  readonly wholeAnswers: AnswerEstimate;
+  /** Time to the first event of streams. */
+  readonly firstEventLatency: AnswerEstimate;
+  /** Time to buffered answers. */
+  readonly bufferedAnswerLatency: AnswerEstimate;
 }
 
-/** The states of all services that requests came for. */
+/** States of all services that received requests. */
 export class ServiceStates {
   private readonly states = new Map<string, ServiceState>();
 
   constructor(private limits: ResendLimits) {}
 
-  /** The state of a service; made where there is none yet. */
-  of(service: string): ServiceState {
+  /** Returns the state of a service; creates it if there is none yet. */
+  stateOf(service: string): ServiceState {
     let state = this.states.get(service);
     if (state === undefined) {
       state = {
         resends: new ResendBudget(this.limits),
-        firstEvents: new AnswerEstimate(),
-        wholeAnswers: new AnswerEstimate(),
+        firstEventLatency: new AnswerEstimate(),
+        bufferedAnswerLatency: new AnswerEstimate(),
       };
       this.states.set(service, state);
     }
     return state;
   }
 
-  /** Takes new bounds on resends; what was resent is forgotten with the old. */
-  limitResends(limits: ResendLimits): void {
+  /** Replaces the limits on resends and resets the count of past resends. */
+  setResendLimits(limits: ResendLimits): void {
     this.limits = limits;
     for (const [service, state] of this.states) {
       const resends = new ResendBudget(limits);
--- a/packages/gateway/src/silence-watch.ts
+++ b/packages/gateway/src/silence-watch.ts
@@ -1,101 +1,119 @@
 import {NetworkTimeout, type Clock} from '@wisteriadeal/platform';
 
-/** How long silence is borne, milliseconds. */
-export interface SilenceLimits {
-  /** Before the answer begins, until its endpoint is suspected. */
+/** Inactivity timeouts of an exchange, milliseconds. */
+export interface InactivityLimits {
+  /** Time without an answer after which the endpoint is suspected. */
   readonly suspectMilliseconds: number;
-  /** Before the answer begins, until it is moved; undefined where it stays. */
-  readonly firstMilliseconds: number | undefined;
-  /** Between events of a stream. */
-  readonly nextMilliseconds: number;
-  /** Whether silence between events moves the stream, or only raises suspicion. */
-  readonly mayMove: boolean;
+  /**
+   * Time without an answer after which the request fails over; undefined if it
+   * may not.
+   */
+  readonly failoverMilliseconds: number | undefined;
+  /** Maximum time between events of a stream. */
+  readonly betweenEventsMilliseconds: number;
+  /**
+   * Whether a timeout between events makes the stream fail over, or only makes
+   * its endpoint suspect.
+   */
+  readonly canFailOver: boolean;
 }
 
-/** What is done about silence. */
-export interface SilenceActions {
-  /** The endpoint should get nothing new until it speaks. */
-  onSuspicion(): void;
-  /** The exchange is given up. */
-  onSilence(): void;
+/** Callbacks for inactivity timeouts. */
+export interface InactivityHandlers {
+  /** The endpoint should get no new requests until it responds. */
+  onSuspect(): void;
+  /** The exchange has timed out. */
+  onTimeout(): void;
 }
 
-/** Tells when an exchange says nothing for too long. */
-export class SilenceWatch {
+/** Detects an exchange that has been inactive for too long. */
+export class InactivityMonitor {
   private readonly startedAt: number;
   private readonly timeouts = new Set<NetworkTimeout>();
-  private firstAfter: number | undefined;
-  /** Begins anew with each event. */
-  private nextTimeout: NetworkTimeout | undefined;
+  private firstByteMilliseconds: number | undefined;
+  /** Restarted by each event. */
+  private eventTimeout: NetworkTimeout | undefined;
 
   constructor(
-    private readonly limits: SilenceLimits,
+    private readonly limits: InactivityLimits,
     private readonly clock: Clock,
-    private readonly actions: SilenceActions,
+    private readonly handlers: InactivityHandlers,
   ) {
     this.startedAt = clock.monotonicMilliseconds();
-    this.arm(limits.suspectMilliseconds, () => {
-      actions.onSuspicion();
+    this.startTimeout(limits.suspectMilliseconds, () => {
+      handlers.onSuspect();
     });
-    if (limits.firstMilliseconds !== undefined) {
-      this.arm(limits.firstMilliseconds, () => {
-        actions.onSilence();
+    if (limits.failoverMilliseconds !== undefined) {
+      this.startTimeout(limits.failoverMilliseconds, () => {
+        handlers.onTimeout();
       });
     }
   }
 
-  /** How long the answer took to begin; undefined where it did not, milliseconds. */
-  get firstMilliseconds(): number | undefined {
-    return this.firstAfter;
+  /** Time until the answer began, milliseconds; undefined if it has not. */
+  get timeToFirstByte(): number | undefined {
+    return this.firstByteMilliseconds;
   }
 
-  /** Since the request was sent, milliseconds. */
+  /** Time since the request was sent, milliseconds. */
   get elapsedMilliseconds(): number {
     return this.clock.monotonicMilliseconds() - this.startedAt;
   }
 
-  /** The endpoint has answered; what follows until the next call is not its silence. */
-  answered(): void {
-    this.firstAfter ??= this.elapsedMilliseconds;
+  /**
+   * Records that the answer has begun, and stops all timeouts until the next
+   * call.
+   */
+  headReceived(): void {
+    this.firstByteMilliseconds ??= this.elapsedMilliseconds;
     this.close();
   }
 
-  /** The answer is read from now on, and no event of it has come. */
-  reading(): void {
-    const {firstMilliseconds = 0, nextMilliseconds} = this.limits;
-    this.expectWithin(Math.max(firstMilliseconds, nextMilliseconds));
+  /**
+   * Starts the timeout for the first event when reading of the answer begins.
+   */
+  bodyStarted(): void {
+    const {failoverMilliseconds = 0, betweenEventsMilliseconds} = this.limits;
+    this.startEventTimeout(
+      Math.max(failoverMilliseconds, betweenEventsMilliseconds),
+    );
   }
 
-  /** An event came: the silence begins anew. */
-  heard(): void {
-    if (this.nextTimeout === undefined) {
-      this.nextTimeout = this.expectWithin(this.limits.nextMilliseconds);
+  /** Restarts the timeout between events, because an event arrived. */
+  eventReceived(): void {
+    if (this.eventTimeout === undefined) {
+      this.eventTimeout = this.startEventTimeout(
+        this.limits.betweenEventsMilliseconds,
+      );
     } else {
-      this.nextTimeout.refresh();
+      this.eventTimeout.refresh();
     }
   }
 
-  /** Watches no longer. */
+  /** Stops all timeouts. */
   close(): void {
     for (const timeout of this.timeouts) {
       timeout.close();
     }
     this.timeouts.clear();
-    this.nextTimeout = undefined;
+    this.eventTimeout = undefined;
   }
 
-  private expectWithin(milliseconds: number): NetworkTimeout {
-    this.answered();
-    return this.arm(milliseconds, () => {
-      if (this.limits.mayMove) {
-        this.actions.onSilence();
+  private startEventTimeout(milliseconds: number): NetworkTimeout {
+    this.headReceived();
+    return this.startTimeout(milliseconds, () => {
+      if (this.limits.canFailOver) {
+        this.handlers.onTimeout();
       } else {
-        this.actions.onSuspicion();
+        this.handlers.onSuspect();
       }
     });
   }
 
-  private arm(milliseconds: number, action: () => void): NetworkTimeout {
+  private startTimeout(
+    milliseconds: number,
+    action: () => void,
+  ): NetworkTimeout {
     const timeout = new NetworkTimeout(milliseconds, action);
     this.timeouts.add(timeout);
     return timeout;
--- a/packages/gateway/src/start-gate.ts
+++ b/packages/gateway/src/start-gate.ts
@@ -1,7 +1,8 @@
 /**
- * Holds requests back until a process that has just started knows what it needs, and
- * never after that. Load: callers come back the moment a host listens. Harm without
- * it: they are refused for a configuration that comes some milliseconds later.
+ * Holds back requests until a process that has just started has the data it
+ * needs, and never again after that. Callers reconnect as soon as a host
+ * listens; without the gate they would be refused for lack of a configuration
+ * that arrives some milliseconds later.
  */
 export class StartGate {
   private readonly opened: Promise<void>;
@@ -10,9 +11,9 @@
   private timer: NodeJS.Timeout | undefined;
   private hasOpened = false;
 
-  /** @param needs Names of what must be known. */
-  constructor(needs: readonly string[]) {
-    this.missing = new Set(needs);
+  /** @param requirements Names of the data that must be present. */
+  constructor(requirements: readonly string[]) {
+    this.missing = new Set(requirements);
     this.opened = new Promise(resolve => {
       this.open = () => {
         this.hasOpened = true;
@@ -21,14 +22,17 @@
     });
   }
 
-  /** Opens by then in any case: what is still missing may take long. */
+  /**
+   * Opens the gate after this time at the latest, as missing data may take long
+   * to arrive.
+   */
   openAfter(milliseconds: number): void {
     this.timer = setTimeout(this.open, milliseconds);
   }
 
-  /** One of the needs is met. */
-  met(need: string): void {
-    this.missing.delete(need);
+  /** Records that one of the requirements is met; the last one opens the gate. */
+  requirementMet(requirement: string): void {
+    this.missing.delete(requirement);
     if (this.missing.size === 0) {
       this.close();
       this.open();
@@ -39,12 +43,12 @@
     return this.hasOpened;
   }
 
-  /** Resolves once it is open. */
-  passed(): Promise<void> {
+  /** Resolves once the gate is open. */
+  whenOpen(): Promise<void> {
     return this.opened;
   }
 
-  /** Waits for nothing more. */
+  /** Cancels the time limit of `openAfter`. */
   close(): void {
     clearTimeout(this.timer);
   }
--- a/packages/gateway/src/status-server.ts
+++ b/packages/gateway/src/status-server.ts
@@ -9,64 +9,73 @@
 import type {GatewayMetrics} from './gateway-metrics.js';
 import {listening, portOf, type ListenAddress} from './listening.js';
 
-/** What a process tells on its status addresses. */
+/** The status that a process serves on its status addresses. */
 export abstract class GatewayStatus {
-  /** Whether this host takes callers. */
+  /** Whether this host accepts callers. */
   abstract isReady(): boolean;
-  /** The platform's balancer was answered whether this host takes callers. */
-  abstract probed(isReady: boolean): void;
-  /** The state, for people. */
+  /**
+   * Records the answer given to a readiness probe of the platform's load
+   * balancer.
+   */
+  abstract readinessAnswered(isReady: boolean): void;
+  /** The state, for operators. */
   abstract dump(): JsonValue;
-  /** Brings gauges up to date before they are read. */
-  abstract refresh(): void;
+  /** Updates the gauges before they are read. */
+  abstract refreshGauges(): void;
 }
 
 /**
- * Serves readiness on one address, metrics and the dump on another. The latter's
- * library is loaded when somebody first asks there: loading it keeps the process busy
- * for longer than the rest of its start, while the callers of a host that was down
- * come back.
+ * Serves readiness on one address, and metrics and the state dump on another.
+ * The library for the latter is loaded on the first request there: loading it
+ * keeps the process busy for longer than the rest of its start, while the
+ * callers of a host that was down reconnect.
  */
 export class StatusServer {
-  private readonly readiness: Server;
-  private readonly inside: Server;
+  private readonly readinessServer: Server;
+  private readonly statusServer: Server;
   private routes: Promise<RequestListener> | undefined;
 
-  /** @param readyPath Where the platform asks for readiness. */
+  /** @param readyPath Path of the platform's readiness probe. */
   constructor(
     private readonly readyPath: string,
     private readonly status: GatewayStatus,
     private readonly metrics: GatewayMetrics,
     private readonly events: EventLog,
   ) {
-    this.readiness = createServer((request, response) => {
+    this.readinessServer = createServer((request, response) => {
       this.answerReadiness(request, response);
     });
-    this.inside = createServer((request, response) => {
-      void this.answerInside(request, response);
+    this.statusServer = createServer((request, response) => {
+      void this.answerStatus(request, response);
     });
   }
 
-  /** @throws The system's error where an address can't be taken. */
-  async listen(ready: ListenAddress, inner: ListenAddress): Promise<void> {
-    await listening(this.readiness, ready);
-    await listening(this.inside, inner);
+  /** @throws The system's error if an address can't be bound. */
+  async listen(
+    readyAddress: ListenAddress,
+    statusAddress: ListenAddress,
+  ): Promise<void> {
+    await listening(this.readinessServer, readyAddress);
+    await listening(this.statusServer, statusAddress);
   }
 
-  /** Port of the readiness address; the settings may leave it to the system. */
+  /**
+   * Port of the readiness address; the settings may leave the choice to the
+   * system.
+   */
   get readyPort(): number {
-    return portOf(this.readiness);
+    return portOf(this.readinessServer);
   }
 
-  /** Port of metrics and the dump. */
+  /** Port of metrics and the state dump. */
   get statusPort(): number {
-    return portOf(this.inside);
+    return portOf(this.statusServer);
   }
 
-  /** Stops listening, and ends idle connections. */
+  /** Stops listening, and closes idle connections. */
   close(): void {
-    this.readiness.close();
-    this.inside.close();
+    this.readinessServer.close();
+    this.statusServer.close();
   }
 
   private answerReadiness(
@@ -76,13 +85,13 @@
     const isKnown = request.url === this.readyPath;
     const isReady = isKnown && this.status.isReady();
     if (isKnown) {
-      this.status.probed(isReady);
+      this.status.readinessAnswered(isReady);
     }
     response.statusCode = isKnown ? (isReady ? 200 : 503) : 404;
     response.end();
   }
 
-  private async answerInside(
+  private async answerStatus(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -90,7 +99,7 @@
       this.routes ??= this.loadRoutes();
       (await this.routes)(request, response);
     } catch (error) {
-      this.events.error('status not served', {
+      this.events.error('status request failed', {
         path: request.url,
         reason: String(error),
       });
@@ -103,7 +112,7 @@
     const {default: restify} = await import('restify');
     const routes = restify.createServer({name: 'wisteriadeal'});
     routes.get('/metrics', async (_request, response) => {
-      this.status.refresh();
+      this.status.refreshGauges();
       const {type, body} = await this.metrics.text();
       response.sendRaw(200, body, {'Content-Type': type});
     });
--- a/packages/gateway/src/stream-relay.ts
+++ b/packages/gateway/src/stream-relay.ts
@@ -5,33 +5,37 @@
   type StreamEvent,
 } from './event-stream-splitter.js';
 import type {RequestRecord} from './request-record.js';
-import type {SilenceWatch} from './silence-watch.js';
+import type {InactivityMonitor} from './silence-watch.js';
 
-/** How passing on one endpoint's part of a stream ended. */
-export enum RelayEnd {
-  /** The stream is whole. */
-  Whole = 'whole',
-  /** It was cut, fell silent, or does not follow what was passed on. */
+/** How relaying one endpoint's part of a stream ended. */
+export enum RelayResult {
+  /** The stream is complete. */
+  Complete = 'whole',
+  /**
+   * The stream was cut, timed out, or did not continue from the last delivered
+   * event.
+   */
   Cut = 'cut',
-  /** The caller has left. */
+  /** The caller disconnected. */
   CallerLeft = 'caller-left',
 }
 
 /**
- * Passes whole events on as they come. Each must follow the one before it: a run
- * that was resumed elsewhere may begin too early or too late, and a stream with a
- * gap or a repeated event is worse to its caller than one that was cut.
+ * Relays complete events as they arrive. Their identifiers must be consecutive:
+ * a run that was resumed at another endpoint may start too early or too late,
+ * and a stream with a gap or a repeated event is worse for its caller than one
+ * that was cut.
  */
 export async function relayStream(
   exchange: EndpointExchange,
   caller: CallerExchange,
   record: RequestRecord,
-  watch: SilenceWatch,
+  monitor: InactivityMonitor,
   now: () => number,
-): Promise<RelayEnd> {
-  const relay = new StreamRelay(exchange, caller, record, watch, now);
-  await exchange.read(chunk => relay.take(chunk));
-  return relay.end;
+): Promise<RelayResult> {
+  const relay = new StreamRelay(exchange, caller, record, monitor, now);
+  await exchange.read(chunk => relay.relay(chunk));
+  return relay.result;
 }
 
 class StreamRelay {
@@ -42,68 +46,72 @@
     private readonly exchange: EndpointExchange,
     private readonly caller: CallerExchange,
     private readonly record: RequestRecord,
-    private readonly watch: SilenceWatch,
+    private readonly monitor: InactivityMonitor,
     private readonly now: () => number,
   ) {}
 
-  /** @returns Where the caller does not read: resolves when more may come. */
-  take(chunk: Buffer): Promise<void> | undefined {
+  /**
+   * @returns A promise that resolves when more may be written, if the caller
+   *     reads too slowly; undefined otherwise.
+   */
+  relay(chunk: Buffer): Promise<void> | undefined {
     if (this.isOutOfOrder) {
       return undefined;
     }
     const events = this.splitter.push(chunk);
-    const passed = inOrder(events, this.record.lastEventId);
-    if (passed.length < events.length) {
+    const forwardable = eventsInOrder(events, this.record.lastEventId);
+    if (forwardable.length < events.length) {
       this.isOutOfOrder = true;
       this.exchange.cancel('event out of order');
     }
-    return passed.length === 0 ? undefined : this.pass(passed);
+    return forwardable.length === 0 ? undefined : this.forward(forwardable);
   }
 
-  get end(): RelayEnd {
+  get result(): RelayResult {
     if (this.isOutOfOrder) {
-      return RelayEnd.Cut;
+      return RelayResult.Cut;
     }
-    if (this.caller.leaving.aborted) {
-      return RelayEnd.CallerLeft;
+    if (this.caller.disconnectSignal.aborted) {
+      return RelayResult.CallerLeft;
     }
-    const isWhole = this.exchange.isWhole && this.splitter.rest.length === 0;
-    return isWhole ? RelayEnd.Whole : RelayEnd.Cut;
+    const isComplete =
+      this.exchange.isComplete && this.splitter.incompleteEvent.length === 0;
+    return isComplete ? RelayResult.Complete : RelayResult.Cut;
   }
 
-  private pass(events: readonly StreamEvent[]): Promise<void> | undefined {
-    this.watch.heard();
+  private forward(events: readonly StreamEvent[]): Promise<void> | undefined {
+    this.monitor.eventReceived();
     for (const {id} of events) {
-      this.record.eventPassed(this.now());
+      this.record.eventDelivered(this.now());
       this.record.lastEventId = id ?? this.record.lastEventId;
     }
-    return this.caller.write(joined(events));
+    return this.caller.write(concatenate(events));
   }
 }
 
-/** The events up to the first that does not follow what was passed on. */
-function inOrder(
+/** The events before the first one that is out of order. */
+function eventsInOrder(
   events: readonly StreamEvent[],
   lastEventId: string | undefined,
 ): readonly StreamEvent[] {
   let last = lastEventId;
-  const broken = events.findIndex(event => {
-    const isBroken = !follows(event, last);
+  const firstOutOfOrder = events.findIndex(event => {
+    const isOutOfOrder = !isNextEvent(event, last);
     last = event.id ?? last;
-    return isBroken;
+    return isOutOfOrder;
   });
-  return broken === -1 ? events : events.slice(0, broken);
+  return firstOutOfOrder === -1 ? events : events.slice(0, firstOutOfOrder);
 }
 
-function joined(events: readonly StreamEvent[]): Buffer {
+function concatenate(events: readonly StreamEvent[]): Buffer {
   const [first] = events;
   return events.length === 1 && first !== undefined
     ? first.bytes
     : Buffer.concat(events.map(({bytes}) => bytes));
 }
 
-/** Identifiers are whole numbers that count up by one. */
-function follows(event: StreamEvent, last: string | undefined): boolean {
+/** Event identifiers are integers that increase by one. */
+function isNextEvent(event: StreamEvent, last: string | undefined): boolean {
   if (event.id === undefined || last === undefined) {
     return true;
   }
--- a/packages/gateway/src/test/caller-connections_test.ts
+++ b/packages/gateway/src/test/caller-connections_test.ts
@@ -5,13 +5,15 @@
 
 import {CallerConnections} from '../caller-connections.js';
 
-/** More than the system takes for a caller that does not read. */
+/**
+ * More bytes than the operating system buffers for a caller that does not read.
+ */
 const LONG_ANSWER = Buffer.alloc(16_000_000, 'a');
 
 let server: Server;
 let connections: CallerConnections;
 let callers: Socket[];
-/** Whether each request was begun. */
+/** For each request, whether `begin` accepted it. */
 let begun: boolean[];
 
 beforeEach(async () => {
@@ -34,12 +36,12 @@
   server.closeAllConnections();
 });
 
-/** Connects a caller that sends so much at once. */
+/** Connects a caller that sends the text immediately. */
 async function callerSends(text: string): Promise<Socket> {
   const {port} = server.address() as AddressInfo;
   const caller = connect(port, '127.0.0.1');
   caller.on('error', () => {
-    // Tests end connections from both sides.
+    // Tests close connections from both sides.
   });
   callers.push(caller);
   await once(caller, 'connect');
@@ -55,15 +57,15 @@
   return response;
 }
 
-async function until(holds: () => boolean): Promise<void> {
-  while (!holds()) {
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 1));
   }
 }
 
 describe('CallerConnections', () => {
-  it('counts what each connection is in the middle of', async () => {
-    // Guards against work that has been accepted and is counted as nothing.
+  it('counts requests and answers in progress', async () => {
+    // Guards against accepted work that is missing from the counts.
     const counts = () => connections.counts;
     await callerSends('');
     await until(() => counts().connections === 1);
@@ -93,8 +95,8 @@
     await until(() => counts().begunRequests === 1);
   });
 
-  it('refuses a head that does not come to its end while it drains', async () => {
-    // Guards against a stop that waits for a caller that has fallen silent.
+  it('answers 408 to an incomplete request head while draining', async () => {
+    // Guards against a stop that waits for a caller that stopped sending.
     const caller = await callerSends('GET / HT');
     await until(() => connections.counts.begunRequests === 1);
     const refused = once(caller, 'data');
@@ -103,8 +105,9 @@
     expect(refusal.toString()).toMatch(/^HTTP\/1.1 408 /);
   });
 
-  it('begins no request that it has refused', async () => {
-    // Guards against a request that was told that it has not run, and runs.
+  it('does not begin a request that it has answered with 408', async () => {
+    // Guards against running a request whose caller was told that it has not
+    // run.
     const accepted = once(server, 'connection');
     const caller = await callerSends('GET / HT');
     const [socket] = (await accepted) as [Socket];
@@ -122,8 +125,9 @@
     await drained;
   });
 
-  it('ends a connection without a request while it drains', async () => {
-    // Guards against a stop that waits for connections that were only opened.
+  it('closes a connection without a request while draining', async () => {
+    // Guards against a stop that waits for connections on which no request
+    // came.
     const caller = await callerSends('');
     await until(() => connections.counts.connections === 1);
     await Promise.all([once(caller, 'close'), connections.drain()]);
--- a/packages/gateway/src/test/caller-exchange_test.ts
+++ b/packages/gateway/src/test/caller-exchange_test.ts
@@ -19,10 +19,10 @@
 const dialect = {callerHeaders: () => HEADERS} as unknown as Dialect;
 
 describe('CallerExchange', () => {
-  it('outlives a caller that leaves between two events', async () => {
-    // Every caller of the host sees its connection break. One caller has left; an
-    // event is written to its connection, which is destroyed already; the error
-    // that follows has no listener and ends the process with all its requests.
+  it('survives a caller that disconnects between two events', async () => {
+    // Guards against the process ending with all its requests. It happens when
+    // an event is written after the caller's connection was destroyed, and the
+    // error that follows has no listener.
     const escaped: unknown[] = [];
     const catchEscaped = (error: unknown) => {
       escaped.push(error);
@@ -44,7 +44,7 @@
         const {port} = server.address() as AddressInfo;
         const outgoing = request({host: '127.0.0.1', port, agent: false});
         outgoing.on('error', () => {
-          // The server breaks the connection off.
+          // The server destroys the connection.
         });
         outgoing.end();
       });
@@ -52,6 +52,6 @@
     const caller = await written;
     process.off('uncaughtException', catchEscaped);
     expect(escaped).toEqual([]);
-    expect(caller.leaving.aborted).toBe(true);
+    expect(caller.disconnectSignal.aborted).toBe(true);
   });
 });
--- a/packages/gateway/src/test/ended-connections_test.ts
+++ b/packages/gateway/src/test/connection-close_test.ts
@@ -7,12 +7,15 @@
 let server: Server;
 let caller: Socket;
 
-/** Serves each request some time after its head, and ends connections where it may. */
+/**
+ * Answers each request some time after its head, and closes connections when
+ * possible.
+ */
 async function serve(milliseconds: number): Promise<void> {
   server = createServer((request, response) => {
     connections.begin(request, response);
     setTimeout(() => {
-      if (connections.mayEndWith(request, response)) {
+      if (connections.canCloseAfter(request, response)) {
         response.shouldKeepAlive = false;
       }
       response.end('answer');
@@ -22,7 +25,10 @@
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
 }
 
-/** What a caller reads that writes these parts, until so many answers have come. */
+/**
+ * Writes the parts as a caller, and returns what it reads until this many
+ * answers have arrived.
+ */
 async function exchange(
   parts: readonly string[],
   answers = 1,
@@ -50,21 +56,22 @@
   server.close();
 });
 
-describe('CallerConnections.mayEndWith', () => {
-  it('ends a connection with the only answer on it', async () => {
+describe('CallerConnections.canCloseAfter', () => {
+  it('closes a connection with the only answer on it', async () => {
     await serve(1);
     expect(await exchange([REQUEST])).toContain('Connection: close');
   });
 
-  it('answers both of two requests that came together', async () => {
-    // Guards against a request that is served and gets no answer.
+  it('answers both of two requests that were sent together', async () => {
+    // Guards against a request that is served but gets no answer.
     await serve(30);
     const read = await exchange([REQUEST + REQUEST], 2);
     expect(read.split('HTTP/1.1 200').length - 1).toBe(2);
   });
 
-  it('keeps the connection of a request whose body still comes', async () => {
-    // Guards against a refusal that is reset before its caller has read it.
+  it('keeps the connection of a request whose body is still being received', async () => {
+    // Guards against resetting the connection before its caller has read the
+    // refusal.
     await serve(1);
     const head = REQUEST.replace('Length: 0', 'Length: 4');
     const read = await exchange([head, 'body']);
--- a/packages/gateway/src/test/endpoint-connections_test.ts
+++ b/packages/gateway/src/test/endpoint-connection-pool_test.ts
@@ -9,19 +9,19 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
 import {
-  EndpointConnections,
-  LONGEST_CERTAIN_IDLE_MILLISECONDS,
+  EndpointConnectionPool,
+  MAXIMUM_SAFE_IDLE_MILLISECONDS,
   type EndpointAddress,
-} from '../endpoint-connections.js';
+} from '../endpoint-connection-pool.js';
 
 let server: Server;
-let connections: EndpointConnections;
+let connections: EndpointConnectionPool;
 let endpoint: EndpointAddress;
 let opened: number;
 
 beforeEach(async () => {
   opened = 0;
-  connections = new EndpointConnections();
+  connections = new EndpointConnectionPool();
   server = createServer();
   server.keepAliveTimeout = 0;
   server.on('connection', () => opened++);
@@ -39,7 +39,7 @@
   server.close();
 });
 
-/** The endpoint's answers say for how long it keeps an idle connection. */
+/** Makes the endpoint's answers state how long it keeps an idle connection. */
 function answersWith(keepAlive?: string): void {
   server.on('request', (_request, response) => {
     response.shouldKeepAlive = false;
@@ -58,7 +58,7 @@
   outgoing.end();
   const [answer] = (await once(outgoing, 'response')) as [IncomingMessage];
   const keepAlive = String(answer.headers['keep-alive'] ?? '');
-  connections.answered(answer.socket, keepAlive);
+  connections.recordKeepAlive(answer.socket, keepAlive);
   answer.resume();
   await once(outgoing, 'close');
   await turns();
@@ -70,52 +70,54 @@
   }
 }
 
-async function rest(milliseconds: number): Promise<void> {
+async function stayIdle(milliseconds: number): Promise<void> {
   vi.advanceTimersByTime(milliseconds);
   await turns();
 }
 
-describe('a kept connection', () => {
-  it('is used for as long as its endpoint says that it keeps it', async () => {
-    // Guards against a new connection for each request where there are many endpoints.
+describe('a pooled connection', () => {
+  it('is reused within the idle timeout that its endpoint states', async () => {
+    // Guards against opening a new connection for each request when there are
+    // many endpoints.
     answersWith('timeout=10');
     await exchange();
-    await rest(7_900);
+    await stayIdle(7_900);
     await exchange();
-    await rest(7_900);
+    await stayIdle(7_900);
     await exchange();
     expect(opened).toBe(1);
   });
 
-  it('is closed before its endpoint closes it', async () => {
+  it('is closed before the idle timeout of its endpoint', async () => {
     answersWith('timeout=2');
     await exchange();
-    await rest(1_700);
+    await stayIdle(1_700);
     await exchange();
     expect(opened).toBe(2);
   });
 
-  it('is closed after some seconds where its endpoint says nothing', async () => {
+  it('is closed after the default idle time if its endpoint states no timeout', async () => {
     answersWith();
     await exchange();
-    await rest(LONGEST_CERTAIN_IDLE_MILLISECONDS - 100);
+    await stayIdle(MAXIMUM_SAFE_IDLE_MILLISECONDS - 100);
     await exchange();
     expect(opened).toBe(1);
-    await rest(LONGEST_CERTAIN_IDLE_MILLISECONDS + 100);
+    await stayIdle(MAXIMUM_SAFE_IDLE_MILLISECONDS + 100);
     await exchange();
     expect(opened).toBe(2);
   });
 
-  it('is not used after a long rest where a request may run once only', async () => {
-    // Guards against requests lost on a connection that was dropped without notice.
+  it('is not reused after a long idle time for a request that may run only once', async () => {
+    // Guards against losing requests on a connection that was dropped without
+    // notice.
     answersWith('timeout=10');
     await exchange();
-    await rest(LONGEST_CERTAIN_IDLE_MILLISECONDS - 100);
-    connections.dropIdle(endpoint, LONGEST_CERTAIN_IDLE_MILLISECONDS);
+    await stayIdle(MAXIMUM_SAFE_IDLE_MILLISECONDS - 100);
+    connections.closeIdle(endpoint, MAXIMUM_SAFE_IDLE_MILLISECONDS);
     await exchange();
     expect(opened).toBe(1);
-    await rest(LONGEST_CERTAIN_IDLE_MILLISECONDS + 100);
-    connections.dropIdle(endpoint, LONGEST_CERTAIN_IDLE_MILLISECONDS);
+    await stayIdle(MAXIMUM_SAFE_IDLE_MILLISECONDS + 100);
+    connections.closeIdle(endpoint, MAXIMUM_SAFE_IDLE_MILLISECONDS);
     await exchange();
     expect(opened).toBe(2);
   });
--- a/packages/gateway/src/test/endpoint-exchange_test.ts
+++ b/packages/gateway/src/test/endpoint-exchange_test.ts
@@ -4,7 +4,7 @@
 import {afterEach, describe, expect, it} from 'vitest';
 
 import type {Dialect} from '../dialect.js';
-import {EndpointConnections} from '../endpoint-connections.js';
+import {EndpointConnectionPool} from '../endpoint-connection-pool.js';
 import {EndpointExchange} from '../endpoint-exchange.js';
 
 const dialect = {
@@ -16,7 +16,7 @@
   }),
 } as unknown as Dialect;
 
-const connections = new EndpointConnections();
+const connections = new EndpointConnectionPool();
 let server: Server | undefined;
 
 afterEach(() => {
@@ -25,7 +25,7 @@
   server?.close();
 });
 
-/** An exchange with an endpoint that sends a part every few milliseconds. */
+/** Opens an exchange with an endpoint that sends a part every 5 ms. */
 async function openExchange(parts: number): Promise<EndpointExchange> {
   const listening = createServer((_request, response) => {
     let sent = 0;
@@ -69,8 +69,8 @@
 }
 
 describe('reading an answer', () => {
-  it('hands each part on after the one before it was taken', async () => {
-    // Guards against parts that overtake each other while a caller does not read.
+  it('passes on each chunk after the one before was consumed', async () => {
+    // Guards against reordered chunks while a caller reads slowly.
     const exchange = await openExchange(4);
     let text = '';
     let taking = 0;
@@ -81,18 +81,19 @@
       taking--;
     });
     expect(text).toBe('part 1;part 2;part 3;part 4;');
-    expect(exchange.isWhole).toBe(true);
+    expect(exchange.isComplete).toBe(true);
   });
 
-  it('ends with the error of what takes its parts, and its endpoint stops', async () => {
-    // Guards against a process that ends with all its requests for a fault in one.
+  it('rejects with the error of its consumer and closes the connection', async () => {
+    // Guards against one request's error ending the process with all its
+    // requests.
     const exchange = await openExchange(1_000);
     await expect(
       exchange.read(() => {
-        throw new RangeError('a fault');
+        throw new RangeError('consumer failed');
       }),
-    ).rejects.toThrow('a fault');
-    expect(exchange.isWhole).toBe(false);
+    ).rejects.toThrow('consumer failed');
+    expect(exchange.isComplete).toBe(false);
     const connected = () =>
       new Promise<number>(resolve => {
         server?.getConnections((_error, count) => {
--- a/packages/gateway/src/test/gateway-limits_test.ts
+++ b/packages/gateway/src/test/gateway-limits_test.ts
@@ -5,7 +5,7 @@
 import {gatewayLimits} from '../gateway-limits.js';
 
 describe('gatewayLimits', () => {
-  it('takes figures as they are, with fractions', () => {
+  it('converts settings without rounding fractions', () => {
     const settings = create(GatewaySettingsSchema, {
       stopGraceSeconds: 7.5,
       retryBudgetRatio: 0.25,
@@ -18,20 +18,20 @@
       stopGraceMilliseconds: 7_500,
       resends: {ratio: 0.25, extra: 190.5, windowMilliseconds: 7_250},
       endpointDrainMilliseconds: 3_000.5,
-      storeKeepMilliseconds: 20_500,
-      linkCapacity: 0,
+      storeRetentionMilliseconds: 20_500,
+      linkBytesPerSecond: 0,
     });
   });
 
-  it('stops in order, resends nothing and keeps records where nothing is said', () => {
-    // Guards against a time that is left out and taken for no time at all.
+  it('applies the defaults, which allow no resends, to missing settings', () => {
+    // Guards against reading a missing time as 0.
     const limits = gatewayLimits(create(GatewaySettingsSchema));
     expect(limits).toEqual({
       stopGraceMilliseconds: 8_000,
       resends: {ratio: 0, extra: 0, windowMilliseconds: 10_000},
       endpointDrainMilliseconds: 2_000,
-      storeKeepMilliseconds: 20_000,
-      linkCapacity: 0,
+      storeRetentionMilliseconds: 20_000,
+      linkBytesPerSecond: 0,
     });
   });
 });
