--- a/packages/gateway/src/test/graceful-stop_test.ts
+++ b/packages/gateway/src/test/graceful-stop_test.ts
@@ -3,15 +3,18 @@
 import {LogLevel} from '@wisteriadeal/schema';
 import {describe, expect, it} from 'vitest';
 
-import {turnOfEventLoop} from '../event-loop.js';
+import {nextEventLoopTurn} from '../event-loop.js';
 import {GracefulStop, type StopParts} from '../graceful-stop.js';
 
-const NOTICE_MILLISECONDS = 2_600;
+const DEREGISTRATION_DELAY_MILLISECONDS = 2_600;
 const GRACE_MILLISECONDS = 100_000;
-/** The notice is over by then. */
-const TOLD_AGO_MILLISECONDS = 10_000;
+/** The deregistration delay has passed by then. */
+const STOP_REQUESTED_MILLISECONDS_AGO = 10_000;
 
-/** Its sleeps end a little early, as the system's may. */
+/**
+ * A clock whose sleeps end slightly early, as those of the operating system
+ * may.
+ */
 class EarlyClock extends Clock {
   private time = 0;
 
@@ -25,7 +28,7 @@
 
   override sleep(milliseconds: number, signal?: AbortSignal): Promise<void> {
     if (signal !== undefined) {
-      // A limit that is not reached.
+      // A time limit that is not reached.
       return new Promise(() => undefined);
     }
     this.time += Math.max(1, milliseconds - 2);
@@ -33,11 +36,14 @@
   }
 }
 
-/** Parts whose steps take some turns of the event loop, and are noted at their end. */
-function notingParts(ended: string[], clock: Clock): StopParts {
+/**
+ * Creates parts whose steps take two turns of the event loop and record their
+ * end.
+ */
+function recordingParts(ended: string[], clock: Clock): StopParts {
   const step = (name: string) => async () => {
-    await turnOfEventLoop();
-    await turnOfEventLoop();
+    await nextEventLoopTurn();
+    await nextEventLoopTurn();
     ended.push(name);
   };
   const parts = {
@@ -56,14 +62,15 @@
 }
 
 describe('GracefulStop', () => {
-  it('takes each step when the one before has ended', async () => {
-    // Guards against grants and bills that go out before the runs that change them end.
+  it('starts each step after the one before has ended', async () => {
+    // Guards against returning grants and writing bills before the requests
+    // that change them have ended.
     const ended: string[] = [];
-    const parts = notingParts(ended, new SystemClock());
+    const parts = recordingParts(ended, new SystemClock());
     await new GracefulStop(
       parts,
       GRACE_MILLISECONDS,
-      TOLD_AGO_MILLISECONDS,
+      STOP_REQUESTED_MILLISECONDS_AGO,
     ).run();
     expect(ended).toEqual([
       'answers sent',
@@ -76,11 +83,13 @@
     ]);
   });
 
-  it('ends its notice no sooner than it said', async () => {
-    // Guards against grants that go back while requests are still let in.
+  it('waits for the whole deregistration delay', async () => {
+    // Guards against returning grants while new requests are still admitted.
     const clock = new EarlyClock();
-    const parts = notingParts([], clock);
+    const parts = recordingParts([], clock);
     await new GracefulStop(parts, GRACE_MILLISECONDS, 0).run();
-    expect(clock.monotonicMilliseconds()).toBe(NOTICE_MILLISECONDS);
+    expect(clock.monotonicMilliseconds()).toBe(
+      DEREGISTRATION_DELAY_MILLISECONDS,
+    );
   });
 });
--- a/packages/gateway/src/test/link-watch_test.ts
+++ b/packages/gateway/src/test/link-monitor_test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
 import {HostTraffic} from '../host-traffic.js';
-import {LinkWatch} from '../link-watch.js';
+import {LinkMonitor} from '../link-monitor.js';
 
 const CAPACITY = 10_000;
 const SAMPLE_MILLISECONDS = 200;
@@ -13,14 +13,14 @@
   override readonly sent = {toCallers: 0, inAll: 0};
 
   override close(): void {
-    // Counts nothing.
+    // There is nothing to stop.
   }
 }
 
 let now: number;
 let traffic: FakeTraffic;
 let lines: Record<string, unknown>[];
-let watch: LinkWatch;
+let monitor: LinkMonitor;
 
 beforeEach(() => {
   vi.useFakeTimers({toFake: ['setInterval', 'clearInterval']});
@@ -30,16 +30,16 @@
   const events = EventLog.create(LogLevel.INFO, {}, line => {
     lines.push(JSON.parse(line) as Record<string, unknown>);
   });
-  watch = new LinkWatch(CAPACITY, traffic, events, () => now);
-  watch.start();
+  monitor = new LinkMonitor(CAPACITY, traffic, events, () => now);
+  monitor.start();
 });
 
 afterEach(() => {
-  watch.close();
+  monitor.close();
   vi.useRealTimers();
 });
 
-/** Bytes come in, nine tenths of them from callers. */
+/** Receives bytes, nine tenths of them from callers. */
 function receive(bytes: number): void {
   const {fromCallers, inAll} = traffic.received;
   traffic.received = {
@@ -62,9 +62,10 @@
     .map(({fullForMilliseconds}) => fullForMilliseconds);
 }
 
-describe('LinkWatch', () => {
-  it('writes a line each second while the link is full', () => {
-    // Guards against a link that is full for long without a word on what fills it.
+describe('LinkMonitor', () => {
+  it('logs once per second while the link is full', () => {
+    // Guards against a link that stays full with no log line about the traffic
+    // that fills it.
     pass(5_000, CAPACITY);
     expect(fullFor()).toEqual([1_000, 2_000, 3_000, 4_000]);
     expect(lines.at(-1)).toMatchObject({
@@ -79,8 +80,8 @@
     expect(fullFor()).toEqual([1_000, 2_000, 3_000, 4_000, 1_000, 2_000]);
   });
 
-  it('makes up for no line that a blocked event loop missed', () => {
-    // Guards against a burst of lines after a block.
+  it('does not log missed lines after the event loop was blocked', () => {
+    // Guards against a burst of log lines after a block.
     pass(2_600, CAPACITY);
     now += 10_000;
     receive(10 * CAPACITY);
@@ -88,8 +89,8 @@
     expect(fullFor()).toEqual([1_000, 12_000, 13_000]);
   });
 
-  it('writes nothing of a link that is not full', () => {
-    // Guards against lines that say nothing.
+  it('logs nothing while the link is not full', () => {
+    // Guards against log lines without information.
     pass(5_000, CAPACITY / 2);
     expect(lines).toEqual([]);
   });
--- a/packages/gateway/src/test/loop-watch_test.ts
+++ b/packages/gateway/src/test/loop-watch_test.ts
@@ -3,16 +3,16 @@
 import {connect, type AddressInfo} from 'node:net';
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {LoopWatch} from '../loop-watch.js';
+import {EventLoopMonitor} from '../loop-watch.js';
 
 const REQUEST = 'GET / HTTP/1.1\r\nHost: shop.example\r\n\r\n';
 
-/** A watch on clocks that the test owns. */
-class WatchRig {
+/** A monitor on clocks that the test controls. */
+class MonitorRig {
   now = 0;
   idle = 0;
   readonly turns: number[] = [];
-  readonly watch = new LoopWatch(
+  readonly monitor = new EventLoopMonitor(
     () => this.now,
     () => this.idle,
     milliseconds => {
@@ -21,55 +21,58 @@
   );
 }
 
-function turnOfLoop(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-describe('LoopWatch', () => {
-  it('tells a turn of work from a wait for endpoints', async () => {
-    // A late answer is put down to endpoints though the loop was at work all the time.
-    const rig = new WatchRig();
+describe('EventLoopMonitor', () => {
+  it('distinguishes a busy turn from idle waiting', async () => {
+    // Guards against attributing a late answer to endpoints although the event
+    // loop was busy all the time.
+    const rig = new MonitorRig();
     rig.now = 500;
     rig.idle = 500;
-    expect(rig.watch.requested()).toBe(0);
-    await turnOfLoop();
+    expect(rig.monitor.requestRead()).toBe(0);
+    await nextTurn();
     rig.now = 580;
-    await turnOfLoop();
+    await nextTurn();
     expect(rig.turns).toEqual([0, 80]);
-    expect(rig.watch.reading).toEqual({
+    expect(rig.monitor.reading).toEqual({
       turnMilliseconds: 80,
       busyMilliseconds: 80,
     });
     rig.now = 2_000;
     rig.idle = 1_900;
-    expect(rig.watch.requested()).toBe(0);
-    expect(rig.watch.reading.busyMilliseconds).toBe(0);
+    expect(rig.monitor.requestRead()).toBe(0);
+    expect(rig.monitor.reading.busyMilliseconds).toBe(0);
   });
 
-  it('counts the wait since the look at the sockets before', async () => {
-    // A request looks new to a host that had no time to read it.
-    const rig = new WatchRig();
-    rig.watch.requested();
-    await turnOfLoop();
+  it('estimates the wait from the previous poll of the sockets', async () => {
+    // Guards against taking a request for new that the host had no time to
+    // read.
+    const rig = new MonitorRig();
+    rig.monitor.requestRead();
+    await nextTurn();
     rig.now = 100;
-    await turnOfLoop();
+    await nextTurn();
     rig.now = 130;
-    expect(rig.watch.requested()).toBe(30 + 100 / 2);
+    expect(rig.monitor.requestRead()).toBe(30 + 100 / 2);
   });
 
-  it('stops looking when no more requests come', async () => {
-    // The watch itself keeps the loop awake, and it is never idle.
-    const rig = new WatchRig();
-    rig.watch.requested();
+  it('stops measuring when no more requests arrive', async () => {
+    // Guards against a monitor that keeps the event loop awake, so that it is
+    // never idle.
+    const rig = new MonitorRig();
+    rig.monitor.requestRead();
     for (let turn = 0; turn < 10; turn++) {
-      await turnOfLoop();
+      await nextTurn();
       rig.now++;
     }
     expect(rig.turns).toHaveLength(3);
   });
 });
 
-describe('LoopWatch on a real loop', () => {
+describe('EventLoopMonitor on a real event loop', () => {
   const server = createServer();
 
   afterEach(() => {
@@ -77,10 +80,11 @@
     server.closeAllConnections();
   });
 
-  it('knows that a request waited while the loop was held up', async () => {
-    // A request that waited in its socket counts as new when it is read at last.
+  it('measures the wait of a request while the loop was blocked', async () => {
+    // Guards against counting a request that waited in its socket as new when
+    // it is finally read.
     const busyMilliseconds = 200;
-    const watch = new LoopWatch(
+    const monitor = new EventLoopMonitor(
       () => performance.now(),
       () => performance.nodeTiming.idleTime,
       () => undefined,
@@ -92,13 +96,13 @@
     await Promise.all([once(early, 'connect'), once(late, 'connect')]);
     const waits: number[] = [];
     server.on('request', (_request, response) => {
-      waits.push(watch.requested());
+      waits.push(monitor.requestRead());
       response.end();
       if (waits.length === 1) {
         late.write(REQUEST);
         const until = performance.now() + busyMilliseconds;
         while (performance.now() < until) {
-          // The loop is held up.
+          // Blocks the event loop.
         }
       }
     });
--- a/packages/gateway/src/test/request-record_test.ts
+++ b/packages/gateway/src/test/request-record_test.ts
@@ -2,57 +2,70 @@
 
 import {RequestRecord, UndeliveredCharge} from '../request-record.js';
 
-const PROMPT = 900;
-const MOST_OUTPUT = 100;
+const PROMPT_TOKENS = 900;
+const MAXIMUM_OUTPUT_TOKENS = 100;
 const TOKENS_PER_EVENT = 4;
 
 function used(record: RequestRecord, charge: UndeliveredCharge): number {
-  return record.usedTokens(PROMPT, MOST_OUTPUT, TOKENS_PER_EVENT, charge);
+  return record.usedTokens(
+    PROMPT_TOKENS,
+    MAXIMUM_OUTPUT_TOKENS,
+    TOKENS_PER_EVENT,
+    charge,
+  );
 }
 
-describe('what a request used', () => {
-  it('is nothing where nothing was sent', () => {
+describe('tokens charged for a request', () => {
+  it('are 0 if nothing was sent', () => {
     const record = new RequestRecord();
     expect(used(record, UndeliveredCharge.Prompt)).toBe(0);
   });
 
-  it('is nothing where nothing was delivered', () => {
-    // The caller sees 402 for a budget that is not used up. Its earlier requests
-    // were given up or broken off before their first event; charged for their
-    // prompts, 537,000 tokens of a budget of 1.5 million were gone for nothing.
+  it('are 0 if nothing was delivered', () => {
+    // Guards against a 402 for a budget that is not used up. Charging the
+    // prompts of requests that were given up or cut before their first event
+    // took 537,000 tokens of a budget of 1.5 million for nothing.
     const record = new RequestRecord();
     record.mayHaveRun = true;
     expect(used(record, UndeliveredCharge.Nothing)).toBe(0);
   });
 
-  it('is the prompt where settings charge what may have run', () => {
+  it('are the prompt if settings charge requests that may have run', () => {
     const record = new RequestRecord();
     record.mayHaveRun = true;
-    expect(used(record, UndeliveredCharge.Prompt)).toBe(PROMPT);
+    expect(used(record, UndeliveredCharge.Prompt)).toBe(PROMPT_TOKENS);
   });
 
-  it('is the prompt, once, and what was delivered', () => {
+  it('are the prompt, once, and the delivered output', () => {
     const record = new RequestRecord();
     record.mayHaveRun = true;
     record.hasDelivered = true;
     record.eventsDelivered = 5;
-    expect(used(record, UndeliveredCharge.Nothing)).toBe(PROMPT + 20);
+    expect(used(record, UndeliveredCharge.Nothing)).toBe(PROMPT_TOKENS + 20);
   });
 
-  it('is whole where an event stands for a fraction of tokens', () => {
-    // Guards against records with fractions, which are passed over: their tokens are gone.
+  it('are rounded up if events have a fractional number of tokens', () => {
+    // Guards against budget records with fractions, which are ignored, so that
+    // their tokens are lost.
     const record = new RequestRecord();
     record.hasDelivered = true;
     record.eventsDelivered = 5;
     expect(
-      record.usedTokens(PROMPT, MOST_OUTPUT, 4.5, UndeliveredCharge.Nothing),
-    ).toBe(PROMPT + 23);
+      record.usedTokens(
+        PROMPT_TOKENS,
+        MAXIMUM_OUTPUT_TOKENS,
+        4.5,
+        UndeliveredCharge.Nothing,
+      ),
+    ).toBe(PROMPT_TOKENS + 23);
   });
 
-  it('is never more than its bound', () => {
+  it('are never more than the token limit of the request', () => {
     const record = new RequestRecord();
     record.hasDelivered = true;
     record.eventsDelivered = 500;
-    expect(used(record, UndeliveredCharge.Nothing)).toBe(PROMPT + MOST_OUTPUT);
+    expect(used(record, UndeliveredCharge.Nothing)).toBe(
+      PROMPT_TOKENS + MAXIMUM_OUTPUT_TOKENS,
+    );
   });
 });
--- a/packages/gateway/src/test/silence-watch_test.ts
+++ b/packages/gateway/src/test/silence-watch_test.ts
@@ -1,73 +1,76 @@
 import {SystemClock} from '@wisteriadeal/runtime';
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
-import {SilenceWatch} from '../silence-watch.js';
+import {InactivityMonitor} from '../silence-watch.js';
 
 const LIMITS = {
   suspectMilliseconds: 100,
-  firstMilliseconds: 300,
-  nextMilliseconds: 200,
-  mayMove: false,
+  failoverMilliseconds: 300,
+  betweenEventsMilliseconds: 200,
+  canFailOver: false,
 };
 
 let seen: string[];
-let watch: SilenceWatch;
+let monitor: InactivityMonitor;
 
 beforeEach(() => {
   vi.useFakeTimers();
   seen = [];
-  watch = new SilenceWatch(LIMITS, new SystemClock(), {
-    onSuspicion: () => {
+  monitor = new InactivityMonitor(LIMITS, new SystemClock(), {
+    onSuspect: () => {
       seen.push('suspicion');
     },
-    onSilence: () => {
-      seen.push('silence');
+    onTimeout: () => {
+      seen.push('timeout');
     },
   });
 });
 
 afterEach(() => {
-  watch.close();
+  monitor.close();
   vi.useRealTimers();
 });
 
-describe('SilenceWatch', () => {
-  it('suspects first, and gives up later', () => {
+describe('InactivityMonitor', () => {
+  it('suspects the endpoint first and times out later', () => {
     vi.advanceTimersByTime(101);
     expect(seen).toEqual(['suspicion']);
     vi.advanceTimersByTime(200);
-    expect(seen).toEqual(['suspicion', 'silence']);
+    expect(seen).toEqual(['suspicion', 'timeout']);
   });
 
-  it('believes what was waiting to be read before it believes a timer', () => {
-    // The caller's answer goes on. The process stood still for seconds; all timers are
-    // due when it wakes, and the answers that came meanwhile have not been read yet.
+  it('accepts an unread answer before an expired timer', () => {
+    // Guards against cancelling an answer that has arrived. After the process
+    // was blocked for seconds, all timers are due, and the answers that arrived
+    // meanwhile have not been read yet.
     vi.advanceTimersByTime(100);
-    watch.answered();
+    monitor.headReceived();
     vi.advanceTimersByTime(1_000);
     expect(seen).toEqual([]);
   });
 
-  it('goes on watching where headers came and no event follows', () => {
-    // The caller's stream is not forgotten: its engine sent headers and went dark.
-    watch.answered();
+  it('times out if no event follows the headers', () => {
+    // Guards against a stream without a timeout when its engine sends headers
+    // and then hangs.
+    monitor.headReceived();
     vi.advanceTimersByTime(1_000);
     expect(seen).toEqual([]);
-    watch.reading();
+    monitor.bodyStarted();
     vi.advanceTimersByTime(301);
     expect(seen).toEqual(['suspicion']);
   });
 
-  it('only suspects where a stream that has begun may not move', () => {
-    watch.heard();
+  it('only suspects the endpoint if a started stream may not fail over', () => {
+    monitor.eventReceived();
     vi.advanceTimersByTime(201);
     expect(seen).toEqual(['suspicion']);
   });
 
-  it('begins anew with each event', () => {
-    // A long stream is not given up: its events come within the limit, one by one.
+  it('restarts the timeout with each event', () => {
+    // Guards against cancelling a long stream whose events each arrive within
+    // the limit.
     for (let event = 0; event < 5; event++) {
-      watch.heard();
+      monitor.eventReceived();
       vi.advanceTimersByTime(150);
     }
     expect(seen).toEqual([]);
@@ -75,13 +78,14 @@
     expect(seen).toEqual(['suspicion']);
   });
 
-  it('believes an event that was waiting to be read before it believes a timer', () => {
-    // Guards against a stream given up for a silence in which the process stood still.
-    watch.heard();
+  it('accepts an unread event before an expired timer', () => {
+    // Guards against cancelling a stream for inactivity during which the
+    // process was blocked.
+    monitor.eventReceived();
     vi.advanceTimersByTime(100);
-    watch.heard();
+    monitor.eventReceived();
     vi.advanceTimersToNextTimer();
-    watch.heard();
+    monitor.eventReceived();
     vi.advanceTimersByTime(150);
     expect(seen).toEqual([]);
   });
--- a/packages/gateway/src/test/start-gate_test.ts
+++ b/packages/gateway/src/test/start-gate_test.ts
@@ -9,7 +9,7 @@
   vi.useFakeTimers();
   gate = new StartGate(['configuration', 'endpoints']);
   hasPassed = false;
-  void gate.passed().then(() => {
+  void gate.whenOpen().then(() => {
     hasPassed = true;
   });
 });
@@ -20,20 +20,21 @@
 });
 
 describe('StartGate', () => {
-  it('holds requests until all that is needed is known', async () => {
-    // The caller is served, and not told that there is no configuration: it came a
-    // moment before the store's first answer did.
+  it('holds requests until all needs are met', async () => {
+    // Guards against refusing a caller for lack of a configuration when its
+    // request arrives just before the store's first answer.
     gate.openAfter(400);
-    gate.met('configuration');
+    gate.requirementMet('configuration');
     await vi.advanceTimersByTimeAsync(10);
     expect(hasPassed).toBe(false);
-    gate.met('endpoints');
+    gate.requirementMet('endpoints');
     await vi.advanceTimersByTimeAsync(0);
     expect(hasPassed).toBe(true);
   });
 
-  it('holds nobody for longer than a start takes', async () => {
-    // The caller is refused soon, with when to come back: the store is away.
+  it('holds requests no longer than the time limit', async () => {
+    // If the store is unreachable, the caller is soon refused with a retry
+    // delay.
     gate.openAfter(400);
     await vi.advanceTimersByTimeAsync(399);
     expect(hasPassed).toBe(false);
--- a/packages/gateway/src/test/status-server_test.ts
+++ b/packages/gateway/src/test/status-server_test.ts
@@ -12,13 +12,13 @@
   return original();
 });
 
-/** A process that is ready or not, as the test says. */
-class FixedStatus extends GatewayStatus {
+/** A status whose readiness the test sets. */
+class StubStatus extends GatewayStatus {
   ready = true;
-  readonly told: boolean[] = [];
+  readonly probeAnswers: boolean[] = [];
 
-  override probed(isReady: boolean): void {
-    this.told.push(isReady);
+  override readinessAnswered(isReady: boolean): void {
+    this.probeAnswers.push(isReady);
   }
 
   override isReady(): boolean {
@@ -29,16 +29,16 @@
     return {ready: this.ready};
   }
 
-  override refresh(): void {
-    // Gauges stay as they are.
+  override refreshGauges(): void {
+    // The test needs no gauges.
   }
 }
 
-let status: FixedStatus;
+let status: StubStatus;
 let server: StatusServer;
 
 beforeEach(async () => {
-  status = new FixedStatus();
+  status = new StubStatus();
   const events = EventLog.create(LogLevel.INFO, {}, () => undefined);
   server = new StatusServer('/ready', status, new GatewayMetrics(), events);
   const anyPort = {address: '127.0.0.1', port: 0};
@@ -50,9 +50,10 @@
 });
 
 describe('StatusServer', () => {
-  it('tells of readiness before the library of the status pages is loaded', async () => {
-    // The callers of a host that lost power come back as soon as it listens. Loading
-    // the library takes longer than the rest of the start, and holds all of them up.
+  it('serves readiness without loading the library of the status pages', async () => {
+    // Guards against delaying callers at a start. The callers of a host that
+    // lost power reconnect as soon as it listens, and loading the library
+    // blocks them for longer than the rest of the start.
     const url = `http://127.0.0.1:${server.readyPort}`;
     expect((await fetch(`${url}/ready`)).status).toBe(200);
     status.ready = false;
@@ -61,16 +62,16 @@
     expect(library.isLoaded).toBe(false);
   });
 
-  it('tells what each readiness probe was answered', async () => {
+  it('reports the answer to each readiness probe', async () => {
     const url = `http://127.0.0.1:${server.readyPort}`;
     await fetch(`${url}/ready`);
     status.ready = false;
     await fetch(`${url}/ready`);
     await fetch(`${url}/other`);
-    expect(status.told).toEqual([true, false]);
+    expect(status.probeAnswers).toEqual([true, false]);
   });
 
-  it('serves metrics and the dump to whoever asks', async () => {
+  it('serves metrics and the state dump', async () => {
     const url = `http://127.0.0.1:${server.statusPort}`;
     const dump = await fetch(`${url}/state`);
     expect(await dump.json()).toEqual({ready: true});
