--- a/packages/decisions/src/order-wishes.ts
+++ b/packages/decisions/src/desired-orders.ts
@@ -7,46 +7,47 @@
 import {PlannedOrderKind} from './engine-order.js';
 import type {FleetView} from './order-planner.js';
 
-/** A change that the target asks for, before any limit. */
-export interface OrderWish {
+/** A change that leads to the target, before any limit is applied. */
+export interface DesiredOrder {
   readonly engine: EngineInventory;
   readonly kind: PlannedOrderKind;
   readonly subject: string;
   readonly fetchesWeights: boolean;
-  /** Whether the engine serves less while it is carried out. */
-  readonly disturbs: boolean;
+  /** Whether the engine serves less while the order is carried out. */
+  readonly reducesCapacity: boolean;
 }
 
 /**
- * Slots beyond the demand, as a part of it, below which a model is given another
- * engine. Load: demand for one model grows. Harm: at nine tenths of the slots
- * work begins to queue, and loading takes minutes.
+ * Minimum number of slots beyond the demand, as a share of the demand; below it
+ * a model is loaded on another engine. When the demand for a model grows,
+ * requests start to queue at nine tenths of the slots, and loading a model
+ * takes minutes.
  */
-const HEADROOM = 0.25;
+const SLOT_HEADROOM_SHARE = 0.25;
 
-function holds(engine: EngineInventory, model: string): boolean {
+function hasModel(engine: EngineInventory, model: string): boolean {
   return engine.models.some(loaded => loaded.model === model);
 }
 
-function versionWishes(
+function versionOrders(
   engine: EngineInventory,
   target: ModelTarget,
-): OrderWish[] {
+): DesiredOrder[] {
   const isOld = engine.models.some(
     ({model, version}) => model === target.model && version !== target.version,
   );
   const subject = `${target.model}@${target.version}`;
   const kind = PlannedOrderKind.ChangeVersion;
   return isOld
-    ? [{engine, kind, subject, fetchesWeights: true, disturbs: true}]
+    ? [{engine, kind, subject, fetchesWeights: true, reducesCapacity: true}]
     : [];
 }
 
-function adapterWishes(
+function adapterOrders(
   engine: EngineInventory,
   target: ModelTarget,
-): OrderWish[] {
-  if (!holds(engine, target.model)) {
+): DesiredOrder[] {
+  if (!hasModel(engine, target.model)) {
     return [];
   }
   return target.adapters
@@ -56,11 +57,14 @@
       kind: PlannedOrderKind.LoadAdapter,
       subject,
       fetchesWeights: true,
-      disturbs: false,
+      reducesCapacity: false,
     }));
 }
 
-function roleWishes(engine: EngineInventory, target: FleetTarget): OrderWish[] {
+function roleOrders(
+  engine: EngineInventory,
+  target: FleetTarget,
+): DesiredOrder[] {
   const role = target.roles.get(engine.endpoint) ?? EngineRole.General;
   return engine.role === role
     ? []
@@ -70,25 +74,29 @@
           kind: PlannedOrderKind.ChangeRole,
           subject: role,
           fetchesWeights: false,
-          disturbs: true,
+          reducesCapacity: true,
         },
       ];
 }
 
-/** The engine with room that serves the fewest models, for a scarce model. */
-function scarcityWishes(
+/**
+ * Loads a model without enough slots on the engine that has memory left and
+ * serves the fewest models.
+ */
+function scarceModelOrders(
   engines: readonly EngineInventory[],
   target: ModelTarget,
-): OrderWish[] {
+): DesiredOrder[] {
   const slots = engines
-    .filter(engine => holds(engine, target.model))
+    .filter(engine => hasModel(engine, target.model))
     .reduce((sum, engine) => sum + engine.slots / engine.models.length, 0);
-  const isEnough = slots > 0 && slots >= target.demandedSlots * (1 + HEADROOM);
+  const hasEnoughSlots =
+    slots > 0 && slots >= target.demandedSlots * (1 + SLOT_HEADROOM_SHARE);
   const [engine] = engines
-    .filter(each => !holds(each, target.model))
+    .filter(each => !hasModel(each, target.model))
     .filter(each => each.models.length < each.maximumModels)
     .toSorted((left, right) => left.models.length - right.models.length);
-  return isEnough || engine === undefined
+  return hasEnoughSlots || engine === undefined
     ? []
     : [
         {
@@ -96,23 +104,26 @@
           kind: PlannedOrderKind.LoadModel,
           subject: `${target.model}@${target.version}`,
           fetchesWeights: true,
-          disturbs: false,
+          reducesCapacity: false,
         },
       ];
 }
 
-/** Everything that the target asks for, the most urgent first. */
-export function wishesFor({engines, target}: FleetView): readonly OrderWish[] {
+/** Returns all changes that lead to the target, the most urgent first. */
+export function desiredOrders({
+  engines,
+  target,
+}: FleetView): readonly DesiredOrder[] {
   const staying = engines.filter(engine => !engine.leaving);
   const {models} = target;
   return [
-    ...models.flatMap(model => scarcityWishes(staying, model)),
+    ...models.flatMap(model => scarceModelOrders(staying, model)),
     ...models.flatMap(model =>
-      staying.flatMap(engine => adapterWishes(engine, model)),
+      staying.flatMap(engine => adapterOrders(engine, model)),
     ),
     ...models.flatMap(model =>
-      staying.flatMap(engine => versionWishes(engine, model)),
+      staying.flatMap(engine => versionOrders(engine, model)),
     ),
-    ...staying.flatMap(engine => roleWishes(engine, target)),
+    ...staying.flatMap(engine => roleOrders(engine, target)),
   ];
 }
--- a/packages/decisions/src/engine-inventory.ts
+++ b/packages/decisions/src/engine-inventory.ts
@@ -1,20 +1,20 @@
-/** What an engine does for the fleet. */
+/** The role of an engine in the fleet. */
 export enum EngineRole {
-  /** Works on prompts and answers alike. */
+  /** Processes prompts and generates answers. */
   General = 'general',
-  /** Works on prompts and hands their cache on. */
+  /** Processes prompts and hands their KV cache to other engines. */
   Prefill = 'prefill',
-  /** Goes on from handed-on caches. */
+  /** Generates answers from KV caches handed over by other engines. */
   Decode = 'decode',
 }
 
-/** A model on an engine, in one version. */
+/** A model in one version, loaded on an engine. */
 export interface LoadedModel {
   readonly model: string;
   readonly version: string;
 }
 
-/** One engine as it reports itself. */
+/** The inventory that an engine reports. */
 export interface EngineInventory {
   readonly endpoint: string;
   readonly models: readonly LoadedModel[];
@@ -22,25 +22,25 @@
   readonly role: EngineRole;
   readonly slots: number;
   readonly leaving: boolean;
-  /** Whether it refuses an order that carries an old fencing number. */
+  /** Whether it rejects orders with an outdated fencing number. */
   readonly checksFencingNumbers: boolean;
-  /** Models that fit into its memory. */
+  /** Number of models that fit into its memory. */
   readonly maximumModels: number;
 }
 
-/** What one model needs of the fleet. */
+/** Requirements of one model. */
 export interface ModelTarget {
   readonly model: string;
   readonly version: string;
-  /** Adapters that its engines hold. */
+  /** Adapters that have to be loaded on its engines. */
   readonly adapters: readonly string[];
-  /** Slots that its demand takes, by measurement. */
+  /** Number of slots that its measured demand occupies. */
   readonly demandedSlots: number;
 }
 
-/** What the fleet should become. */
+/** Desired state of the fleet. */
 export interface FleetTarget {
   readonly models: readonly ModelTarget[];
-  /** Roles wanted, by endpoint; General where none is named. */
+  /** Desired role by endpoint; General for endpoints that are not listed. */
   readonly roles: ReadonlyMap<string, EngineRole>;
 }
--- a/packages/decisions/src/engine-order.ts
+++ b/packages/decisions/src/engine-order.ts
@@ -1,4 +1,6 @@
-/** What an order changes. Same values as the platform's `EngineOrderKind`. */
+/**
+ * The kind of change. The values are those of the platform's `EngineOrderKind`.
+ */
 export enum PlannedOrderKind {
   LoadModel = 'load-model',
   LoadAdapter = 'load-adapter',
@@ -12,18 +14,23 @@
   readonly kind: PlannedOrderKind;
   /** The model, `model@version`, the adapter or the role. */
   readonly subject: string;
-  /** Higher than in any order planned before. */
+  /** Greater than in any order planned before. */
   readonly fencingNumber: number;
-  /** Whether a ticket of the weight store is needed first. */
+  /** Whether the order first needs a ticket of the weight store. */
   readonly fetchesWeights: boolean;
 }
 
 /** How an order ended. */
 export enum OrderOutcome {
-  /** The engine did it. */
+  /** The engine carried it out. */
   Done = 'done',
-  /** The engine refused it: somebody else orders with a higher number. */
+  /**
+   * The engine rejected it, because another planner uses a higher fencing
+   * number.
+   */
   Fenced = 'fenced',
-  /** Nobody can tell; the engine may still do it. */
+  /**
+   * The outcome cannot be determined; the engine may still carry out the order.
+   */
   Unknown = 'unknown',
 }
--- a/packages/decisions/src/order-planner.ts
+++ b/packages/decisions/src/order-planner.ts
@@ -1,39 +1,45 @@
 import type {EngineInventory, FleetTarget} from './engine-inventory.js';
 import type {OrderOutcome, PlannedOrder} from './engine-order.js';
 
-/** What a planner is told of the engines. */
+/** Current and desired state of the engines. */
 export interface FleetView {
   readonly engines: readonly EngineInventory[];
   readonly target: FleetTarget;
 }
 
-/** Plans orders to engines; sends none itself. */
+/** Plans orders to engines; it does not send them. */
 export abstract class OrderPlanner {
-  /** The orders to give now. Each stays outstanding until `ended`. */
+  /**
+   * Returns the orders to send now. Each order stays outstanding until `ended`
+   * is called.
+   */
   abstract plan(view: FleetView, now: number): readonly PlannedOrder[];
 
-  /** An order has ended. */
+  /** Records the end of an order. */
   abstract ended(order: PlannedOrder, outcome: OrderOutcome, now: number): void;
 
-  /** The weight store refused a ticket for the order: it was not given. */
-  abstract refusedWeights(
+  /**
+   * Records that the weight store refused a ticket for the order, which was
+   * therefore not sent.
+   */
+  abstract weightsRefused(
     order: PlannedOrder,
     retryAfterMilliseconds: number,
     now: number,
   ): void;
 }
 
-/** Engines stay as they are: the baseline. */
+/** Baseline policy: never changes the engines. */
 export class NeverOrder extends OrderPlanner {
   override plan(): readonly PlannedOrder[] {
     return [];
   }
 
   override ended(): void {
-    // Nothing was ordered.
+    // There are no orders.
   }
 
-  override refusedWeights(): void {
-    // Nothing was ordered.
+  override weightsRefused(): void {
+    // There are no orders.
   }
 }
--- a/packages/decisions/src/rolling-order-planner.ts
+++ b/packages/decisions/src/rolling-order-planner.ts
@@ -1,81 +1,91 @@
 import {OrderOutcome, type PlannedOrder} from './engine-order.js';
 import {OrderPlanner, type FleetView} from './order-planner.js';
-import {wishesFor, type OrderWish} from './order-wishes.js';
+import {desiredOrders, type DesiredOrder} from './desired-orders.js';
 import type {WeightBudget} from './weight-budget.js';
 
 /**
- * At most this part of the slots is disturbed at once, but always one engine.
- * Load: a new version is in force while the fleet is busy. Harm: engines that
- * change together leave too few for the work.
+ * Maximum share of the slots on engines that serve less because of an order,
+ * but always at least one engine. If a new version takes effect while the fleet
+ * is busy, engines that change at the same time would leave too few slots for
+ * the work.
  */
-const LARGEST_DISTURBED_SHARE = 0.25;
+const MAXIMUM_REDUCED_SLOT_SHARE = 0.25;
 
 /**
- * An engine that ignores fencing numbers gets no other order for this long after
- * one whose fate is unknown. Failure: the lost order is carried out after a
- * later one, and an old version comes back. No order of this planner takes
- * longer, so that after the wait none can be under way.
+ * Time for which an engine that ignores fencing numbers receives no further
+ * order after one with an unknown outcome, in milliseconds. Otherwise the lost
+ * order could be carried out after a later one and restore an old version. No
+ * order of this planner takes longer, so none can be in progress after the
+ * wait.
  */
-const UNKNOWN_FATE_WAIT_MILLISECONDS = 120_000;
+const UNKNOWN_OUTCOME_WAIT_MILLISECONDS = 120_000;
 
-/** What a rolling planner is made with. */
+/** Options of a `RollingOrderPlanner`. */
 export interface RollingOrderPlannerOptions {
-  readonly weights: WeightBudget;
+  readonly weightBudget: WeightBudget;
   /**
-   * Lies above all numbers that other planners may have used: the log's offset
-   * of the record by which this one took over, times the step below.
+   * Must be greater than all numbers that other planners may have used: the log
+   * offset of the record with which this planner took over, times
+   * `FENCING_NUMBERS_PER_OFFSET`.
    */
   readonly firstFencingNumber: number;
-  /** Orders to engines that ignore fencing numbers wait until then. */
-  readonly quietUntil: number;
+  /**
+   * Time before which engines that ignore fencing numbers receive no orders, in
+   * milliseconds.
+   */
+  readonly unfencedOrdersFrom: number;
 }
 
-/** Fencing numbers that one take-over leaves room for. */
+/** Number of fencing numbers available to each planner that takes over. */
 export const FENCING_NUMBERS_PER_OFFSET = 1_000_000;
 
 /**
- * Changes the fleet step by step: one order at a time to an engine, a quarter of
- * the slots at a time, and fetches within the weight store's limit.
+ * Changes the fleet step by step: one order at a time per engine, a quarter of
+ * the slots at a time, and fetches within the weight store's rate limit.
  *
- * Orders carry rising fencing numbers, so that an engine which checks them never
- * obeys a planner that has been replaced. Where an engine ignores them, only
- * time helps: a new planner waits until orders of the old one have ended.
+ * Orders carry increasing fencing numbers, so that an engine that checks them
+ * never follows a planner that has been superseded. If an engine ignores them,
+ * a new planner can only wait until the orders of the previous planner have
+ * ended.
  *
  * @example
  * ```ts
  * const planner = new RollingOrderPlanner({
- *   weights: new WeightBudget(2, 30_000, now),
+ *   weightBudget: new WeightBudget(2, 30_000, now),
  *   firstFencingNumber: offset * FENCING_NUMBERS_PER_OFFSET,
- *   quietUntil: now + 120_000,
+ *   unfencedOrdersFrom: now + 120_000,
  * });
- * for (const order of planner.plan(view, now)) give(order);
+ * for (const order of planner.plan(view, now)) send(order);
  * ```
  */
 export class RollingOrderPlanner extends OrderPlanner {
   private readonly outstanding = new Map<string, PlannedOrder>();
-  private readonly disturbed = new Set<string>();
+  private readonly reducedEndpoints = new Set<string>();
   private readonly blockedUntil = new Map<string, number>();
   private nextFencingNumber: number;
-  private isReplaced = false;
+  private isSuperseded = false;
 
   constructor(private readonly options: RollingOrderPlannerOptions) {
     super();
     this.nextFencingNumber = options.firstFencingNumber;
   }
 
-  /** True once an engine refused an order as too old: another one plans. */
-  get hasBeenReplaced(): boolean {
-    return this.isReplaced;
+  /**
+   * True once an engine has rejected an order with an outdated fencing number,
+   * which means that another planner has taken over.
+   */
+  get hasBeenSuperseded(): boolean {
+    return this.isSuperseded;
   }
 
   override plan(view: FleetView, now: number): readonly PlannedOrder[] {
-    if (this.isReplaced) {
+    if (this.isSuperseded) {
       return [];
     }
     const orders: PlannedOrder[] = [];
-    for (const wish of wishesFor(view)) {
-      if (this.mayOrder(wish, view, now)) {
-        orders.push(this.order(wish));
+    for (const desired of desiredOrders(view)) {
+      if (this.mayOrder(desired, view, now)) {
+        orders.push(this.order(desired));
       }
     }
     return orders;
@@ -86,73 +96,80 @@
     outcome: OrderOutcome,
     now: number,
   ): void {
-    this.forget(order);
+    this.removeOutstanding(order);
     if (outcome === OrderOutcome.Fenced) {
-      this.isReplaced = true;
+      this.isSuperseded = true;
     }
     if (outcome === OrderOutcome.Unknown) {
-      const until = now + UNKNOWN_FATE_WAIT_MILLISECONDS;
+      const until = now + UNKNOWN_OUTCOME_WAIT_MILLISECONDS;
       this.blockedUntil.set(order.endpoint, until);
     }
   }
 
-  override refusedWeights(
+  override weightsRefused(
     order: PlannedOrder,
     retryAfterMilliseconds: number,
     now: number,
   ): void {
-    this.forget(order);
-    this.options.weights.refused(retryAfterMilliseconds, now);
+    this.removeOutstanding(order);
+    this.options.weightBudget.recordRefusal(retryAfterMilliseconds, now);
   }
 
-  private forget(order: PlannedOrder): void {
+  private removeOutstanding(order: PlannedOrder): void {
     if (this.outstanding.get(order.endpoint) === order) {
       this.outstanding.delete(order.endpoint);
-      this.disturbed.delete(order.endpoint);
+      this.reducedEndpoints.delete(order.endpoint);
     }
   }
 
-  private mayOrder(wish: OrderWish, view: FleetView, now: number): boolean {
-    const {engine, disturbs, fetchesWeights} = wish;
+  private mayOrder(
+    desired: DesiredOrder,
+    view: FleetView,
+    now: number,
+  ): boolean {
+    const {engine, reducesCapacity, fetchesWeights} = desired;
     return (
       !this.outstanding.has(engine.endpoint) &&
-      this.isSafe(wish, now) &&
-      (!disturbs || this.mayDisturb(wish, view)) &&
-      (!fetchesWeights || this.options.weights.take(now))
+      this.isSafeToOrder(desired, now) &&
+      (!reducesCapacity || this.mayReduceCapacity(desired, view)) &&
+      (!fetchesWeights || this.options.weightBudget.tryTake(now))
     );
   }
 
-  private isSafe({engine}: OrderWish, now: number): boolean {
+  private isSafeToOrder({engine}: DesiredOrder, now: number): boolean {
     if (engine.checksFencingNumbers) {
       return true;
     }
     const blockedUntil = this.blockedUntil.get(engine.endpoint) ?? 0;
-    return now >= Math.max(blockedUntil, this.options.quietUntil);
+    return now >= Math.max(blockedUntil, this.options.unfencedOrdersFrom);
   }
 
-  private mayDisturb({engine}: OrderWish, {engines}: FleetView): boolean {
-    const all = engines.reduce((sum, each) => sum + each.slots, 0);
-    const disturbed = engines
-      .filter(each => each.leaving || this.disturbed.has(each.endpoint))
+  private mayReduceCapacity(
+    {engine}: DesiredOrder,
+    {engines}: FleetView,
+  ): boolean {
+    const allSlots = engines.reduce((sum, each) => sum + each.slots, 0);
+    const reducedSlots = engines
+      .filter(each => each.leaving || this.reducedEndpoints.has(each.endpoint))
       .reduce((sum, each) => sum + each.slots, 0);
     return (
-      disturbed === 0 ||
-      disturbed + engine.slots <= all * LARGEST_DISTURBED_SHARE
+      reducedSlots === 0 ||
+      reducedSlots + engine.slots <= allSlots * MAXIMUM_REDUCED_SLOT_SHARE
     );
   }
 
-  private order(wish: OrderWish): PlannedOrder {
-    const {endpoint} = wish.engine;
+  private order(desired: DesiredOrder): PlannedOrder {
+    const {endpoint} = desired.engine;
     const order = {
       endpoint,
-      kind: wish.kind,
-      subject: wish.subject,
+      kind: desired.kind,
+      subject: desired.subject,
       fencingNumber: this.nextFencingNumber++,
-      fetchesWeights: wish.fetchesWeights,
+      fetchesWeights: desired.fetchesWeights,
     };
     this.outstanding.set(endpoint, order);
-    if (wish.disturbs) {
-      this.disturbed.add(endpoint);
+    if (desired.reducesCapacity) {
+      this.reducedEndpoints.add(endpoint);
     }
     return order;
   }
--- a/packages/decisions/src/test/rolling-order-planner_test.ts
+++ b/packages/decisions/src/test/rolling-order-planner_test.ts
@@ -12,9 +12,9 @@
   type PlannedOrder,
 } from '../index.js';
 
-const FETCH_INTERVAL = 10_000;
+const FETCH_INTERVAL_MILLISECONDS = 10_000;
 const BURST = 2;
-const FIRST_NUMBER = 7_000_000;
+const FIRST_FENCING_NUMBER = 7_000_000;
 
 function engine(
   position: number,
@@ -38,15 +38,15 @@
   roles: new Map(),
 };
 
-function planner(quietUntil = 0): RollingOrderPlanner {
+function planner(unfencedOrdersFrom = 0): RollingOrderPlanner {
   return new RollingOrderPlanner({
-    weights: new WeightBudget(BURST, FETCH_INTERVAL, 0),
-    firstFencingNumber: FIRST_NUMBER,
-    quietUntil,
+    weightBudget: new WeightBudget(BURST, FETCH_INTERVAL_MILLISECONDS, 0),
+    firstFencingNumber: FIRST_FENCING_NUMBER,
+    unfencedOrdersFrom,
   });
 }
 
-function carryOut(
+function applyOrder(
   engines: EngineInventory[],
   {endpoint, kind, subject}: PlannedOrder,
 ): void {
@@ -59,16 +59,20 @@
 }
 
 describe('RollingOrderPlanner', () => {
-  it('brings every engine to the version, a quarter at a time', () => {
+  it('updates every engine to the version, a quarter at a time', () => {
     const plan = planner();
     const engines = Array.from({length: 8}, (_, position) => engine(position));
     const numbers: number[] = [];
-    for (let now = 0; now < 20 * FETCH_INTERVAL; now += FETCH_INTERVAL) {
+    for (
+      let now = 0;
+      now < 20 * FETCH_INTERVAL_MILLISECONDS;
+      now += FETCH_INTERVAL_MILLISECONDS
+    ) {
       const orders = plan.plan({engines, target: NEW_VERSION}, now);
       expect(orders.length).toBeLessThanOrEqual(2);
       for (const order of orders) {
         numbers.push(order.fencingNumber);
-        carryOut(engines, order);
+        applyOrder(engines, order);
         plan.ended(order, OrderOutcome.Done, now);
       }
     }
@@ -77,10 +81,10 @@
     );
     expect(numbers).toEqual(numbers.toSorted((left, right) => left - right));
     expect(new Set(numbers).size).toBe(numbers.length);
-    expect(numbers[0]).toBeGreaterThanOrEqual(FIRST_NUMBER);
+    expect(numbers[0]).toBeGreaterThanOrEqual(FIRST_FENCING_NUMBER);
   });
 
-  it('loads a scarce model where there is room', () => {
+  it('loads a model with too few slots on an engine with memory left', () => {
     const target: FleetTarget = {
       models: [
         {model: 'tutor-70b', version: '1', adapters: [], demandedSlots: 4},
@@ -93,11 +97,11 @@
     ]);
   });
 
-  // A planner loses the answer to an order. The engine ignores fencing numbers
-  // and may still carry it out, after whatever it is told next: the fleet would
-  // fall back to an old version. So nothing more is ordered until the lost order
-  // can no longer be under way.
-  it('waits after an unknown fate where fencing numbers are ignored', () => {
+  // The planner does not receive the outcome of an order. The engine ignores
+  // fencing numbers and may still carry out the order after a later one, which
+  // would restore an old version. Nothing more is ordered until the lost order
+  // can no longer be in progress.
+  it('waits after an unknown outcome if fencing numbers are ignored', () => {
     const plan = planner();
     const engines = [engine(0, {checksFencingNumbers: false})];
     const [order] = plan.plan({engines, target: NEW_VERSION}, 0);
@@ -110,13 +114,13 @@
     expect(plan.plan(view, 121_000)).toHaveLength(1);
   });
 
-  it('starts quietly where fencing numbers are ignored', () => {
+  it('sends no orders at first to engines that ignore fencing numbers', () => {
     const engines = [engine(0, {checksFencingNumbers: false}), engine(1)];
     const orders = planner(50_000).plan({engines, target: NEW_VERSION}, 0);
     expect(orders.map(({endpoint}) => endpoint)).toEqual(['engine-1']);
   });
 
-  it('plans nothing more once it has been fenced', () => {
+  it('plans no orders after being fenced', () => {
     const plan = planner();
     const view = {engines: [engine(0)], target: NEW_VERSION};
     const [order] = plan.plan(view, 0);
@@ -132,13 +136,19 @@
       fc.property(
         fc.array(fc.nat({max: 5_000}), {minLength: 1, maxLength: 60}),
         gaps => {
-          const budget = new WeightBudget(BURST, FETCH_INTERVAL, 0);
+          const budget = new WeightBudget(
+            BURST,
+            FETCH_INTERVAL_MILLISECONDS,
+            0,
+          );
           let now = 0;
           let taken = 0;
           for (const gap of gaps) {
             now += gap;
-            taken += budget.take(now) ? 1 : 0;
-            expect(taken).toBeLessThanOrEqual(BURST + now / FETCH_INTERVAL);
+            taken += budget.tryTake(now) ? 1 : 0;
+            expect(taken).toBeLessThanOrEqual(
+              BURST + now / FETCH_INTERVAL_MILLISECONDS,
+            );
           }
         },
       ),
--- a/packages/decisions/src/weight-budget.ts
+++ b/packages/decisions/src/weight-budget.ts
@@ -1,56 +1,63 @@
 /**
- * A token bucket over the weight store's rate limit. Load: a new version has to
- * reach every engine. Harm: fetches beyond the limit are refused one by one, and
- * those of an engine that has crashed wait behind them.
+ * A token bucket for the weight store's rate limit. When a new version has to
+ * reach every engine, fetches beyond the limit would be refused one by one, and
+ * those of an engine that has crashed would wait behind them.
  */
 export class WeightBudget {
-  private available: number;
-  private filledAt: number;
+  private availableTokens: number;
+  private refilledAt: number;
 
   /**
-   * @param burst Fetches that may begin at once.
-   * @param intervalMilliseconds Time in which one more may begin.
+   * @param burst Number of fetches that may start at once.
+   * @param intervalMilliseconds Time after which one more fetch may start.
    */
   constructor(
     private readonly burst: number,
     private readonly intervalMilliseconds: number,
     now: number,
   ) {
-    this.available = burst;
-    this.filledAt = now;
+    this.availableTokens = burst;
+    this.refilledAt = now;
   }
 
-  /** Takes leave for one fetch; false where none is left. */
-  take(now: number): boolean {
-    this.fill(now);
-    if (this.available < 1) {
+  /**
+   * Takes a token for one fetch.
+   *
+   * @returns False if the bucket is empty.
+   */
+  tryTake(now: number): boolean {
+    this.refill(now);
+    if (this.availableTokens < 1) {
       return false;
     }
-    this.available--;
+    this.availableTokens--;
     return true;
   }
 
-  /** The store itself refused: nothing is left until then. */
-  refused(retryAfterMilliseconds: number, now: number): void {
-    this.available = 0;
-    this.filledAt = now + retryAfterMilliseconds - this.intervalMilliseconds;
+  /**
+   * Records a refusal by the store: no fetch may start before the given delay.
+   */
+  recordRefusal(retryAfterMilliseconds: number, now: number): void {
+    this.availableTokens = 0;
+    this.refilledAt = now + retryAfterMilliseconds - this.intervalMilliseconds;
   }
 
-  /** When one fetch may begin. */
+  /** Returns when the next fetch may start. */
   nextAt(now: number): number {
-    this.fill(now);
-    return this.available >= 1
+    this.refill(now);
+    return this.availableTokens >= 1
       ? now
-      : this.filledAt + (1 - this.available) * this.intervalMilliseconds;
+      : this.refilledAt +
+          (1 - this.availableTokens) * this.intervalMilliseconds;
   }
 
-  private fill(now: number): void {
-    const elapsed = now - this.filledAt;
+  private refill(now: number): void {
+    const elapsed = now - this.refilledAt;
     if (elapsed <= 0) {
       return;
     }
-    const filled = this.available + elapsed / this.intervalMilliseconds;
-    this.available = Math.min(this.burst, filled);
-    this.filledAt = now;
+    const filled = this.availableTokens + elapsed / this.intervalMilliseconds;
+    this.availableTokens = Math.min(this.burst, filled);
+    this.refilledAt = now;
   }
 }
