--- a/packages/decisions/src/answer-estimate.ts
+++ b/packages/decisions/src/answer-estimate.ts
@@ -1,50 +1,71 @@
-/** What of a request decides how long its answer takes to begin. */
+/** Properties of a request that determine the time until its answer starts. */
 export interface PromptSize {
-  /** Tokens of the part that no other request shares: surely not cached. */
+  /**
+   * Tokens of the part that no other request shares, which is therefore
+   * certainly not cached.
+   */
   readonly ownTokens: number;
 }
 
-/** How long silence is borne. */
+/** Bounds on the time to wait for the start of an answer. */
 export interface SilenceBounds {
-  /** Never less, milliseconds. */
+  /** Lower bound of the timeout, in milliseconds. */
   readonly shortestMilliseconds: number;
-  /** So many times what is expected. */
+  /** The timeout is this factor times the expected time. */
   readonly expectedFactor: number;
 }
 
 /**
- * A prompt takes as long as its own tokens and these: scheduling, the handshake and
- * shared parts that were not cached.
+ * Fixed cost of a prompt, in tokens, added to its own tokens. It accounts for
+ * scheduling, the handshake and shared parts that were not cached.
  */
 const BASE_TOKENS = 1_000;
-/** The mean follows about so many answers; an endpoint's loss shows within a second. */
-const MEAN_ANSWERS = 12;
+/**
+ * Approximate number of answers covered by the mean. At this size the loss of
+ * an endpoint shows within a second.
+ */
+const MEAN_WINDOW_ANSWERS = 12;
 
 /**
- * How long answers of a service take to begin now, as this host sees it: the first
- * event of a stream, or the head of a whole answer.
+ * Estimates how long answers of a service currently take to start, as observed
+ * by this host: until the first event of a stream, or until the head of a
+ * complete response.
  *
- * Load: three of six engines are lost, and the first events of the others take ten
- * times as long. Harm with a fixed limit: streams are moved though their engine is at
- * work, each prompt is read twice, and some are lost with no attempt left. A prompt
- * of 40,000 tokens takes over a second to read on an idle engine.
+ * When three of six engines are lost, the first events of the others take ten
+ * times as long. With a fixed timeout, streams would be moved although their
+ * engine is working on them: each prompt would be read twice, and some requests
+ * would run out of attempts. A prompt of 40,000 tokens takes over a second to
+ * read even on an idle engine.
  */
 export class AnswerEstimate {
-  private perToken = 0;
-  private answers = 0;
+  private meanMillisecondsPerToken = 0;
+  private sampleCount = 0;
 
-  /** An answer began. */
+  /**
+   * Records an answer that started.
+   *
+   * @param milliseconds Time until the answer started.
+   */
   came(prompt: PromptSize, milliseconds: number): void {
-    this.learn(milliseconds / weightOf(prompt));
+    this.updateMean(milliseconds / effectiveTokens(prompt));
   }
 
-  /** None began so long, and it was not waited for any longer. */
+  /**
+   * Records an answer that had not started when its timeout expired.
+   *
+   * @param milliseconds Time waited.
+   */
   missed(prompt: PromptSize, milliseconds: number): void {
-    this.learn(Math.max(this.perToken, milliseconds / weightOf(prompt)));
+    this.updateMean(
+      Math.max(
+        this.meanMillisecondsPerToken,
+        milliseconds / effectiveTokens(prompt),
+      ),
+    );
   }
 
   /**
-   * How long silence is borne before an answer begins.
+   * Returns how long to wait for an answer to start.
    *
    * @returns Milliseconds.
    * @example
@@ -53,19 +74,20 @@
    * ```
    */
   limit(prompt: PromptSize, bounds: SilenceBounds): number {
-    const expected = this.perToken * weightOf(prompt);
+    const expected = this.meanMillisecondsPerToken * effectiveTokens(prompt);
     return Math.max(
       bounds.shortestMilliseconds,
       bounds.expectedFactor * expected,
     );
   }
 
-  private learn(perToken: number): void {
-    this.answers = Math.min(MEAN_ANSWERS, this.answers + 1);
-    this.perToken += (perToken - this.perToken) / this.answers;
+  private updateMean(millisecondsPerToken: number): void {
+    this.sampleCount = Math.min(MEAN_WINDOW_ANSWERS, this.sampleCount + 1);
+    this.meanMillisecondsPerToken +=
+      (millisecondsPerToken - this.meanMillisecondsPerToken) / this.sampleCount;
   }
 }
 
-function weightOf({ownTokens}: PromptSize): number {
+function effectiveTokens({ownTokens}: PromptSize): number {
   return BASE_TOKENS + ownTokens;
 }
--- a/packages/decisions/src/arrival-admission.ts
+++ b/packages/decisions/src/arrival-admission.ts
@@ -1,42 +1,60 @@
-/** A request that was read, before anything dear is done for it. */
+/** A request that has been read, before any expensive work is done for it. */
 export interface ArrivedRequest {
-  /** When its first byte came, as far as that is known; monotonic milliseconds. */
+  /**
+   * When its first byte arrived, as far as the host can determine, in
+   * milliseconds of the monotonic clock.
+   */
   readonly cameAt: number;
-  /** Its answer is wanted to begin within this from its first byte, milliseconds. */
+  /**
+   * Target time from the first byte to the start of the answer, in
+   * milliseconds.
+   */
   readonly objectiveMilliseconds: number;
-  /** Its caller or its route waits no longer from its first byte, milliseconds. */
+  /**
+   * Time from the first byte after which the caller or the route gives up, in
+   * milliseconds.
+   */
   readonly limitMilliseconds: number;
 }
 
-/** What the event loop of a host does now. */
+/** Current load of a host's event loop. */
 export interface LoopLoad {
-  /** The loop has worked for so long without a pause, milliseconds. */
+  /**
+   * Time for which the event loop has been busy without a pause, in
+   * milliseconds.
+   */
   readonly busyMilliseconds: number;
-  /** Requests that were begun and whose answers have not. */
+  /** Requests that were started and whose answers have not started yet. */
   readonly unanswered: number;
 }
 
-/** A request that is refused as not run. */
+/** A request that is refused without having been run. */
 export interface RefusedArrival<Request> {
   readonly request: Request;
-  /** When a new try may fare better. */
+  /** Time after which a retry may succeed, in milliseconds. */
   readonly retryAfterMilliseconds: number;
 }
 
-/** What becomes of requests: each is begun or refused. */
+/** The decision about a batch of requests: each one is started or refused. */
 export interface ArrivalPlan<Request> {
   readonly begun: readonly Request[];
   readonly refused: readonly RefusedArrival<Request>[];
 }
 
-/** Decides which of the requests that a host has read are begun. */
+/** Decides which of the requests that a host has read are started. */
 export abstract class ArrivalAdmission {
-  /** The answer of a request has begun. */
+  /**
+   * Records that the answer to a request has started.
+   *
+   * @param now Monotonic clock, in milliseconds.
+   */
   abstract answered(load: LoopLoad, now: number): void;
 
   /**
-   * @param arrived In the order in which they were read.
-   * @param now Monotonic milliseconds.
+   * Decides which requests to start and which to refuse.
+   *
+   * @param arrived Requests in the order in which they were read.
+   * @param now Monotonic clock, in milliseconds.
    */
   abstract plan<Request extends ArrivedRequest>(
     arrived: readonly Request[],
@@ -45,10 +63,10 @@
   ): ArrivalPlan<Request>;
 }
 
-/** Begins all at once, in the order in which they came: the baseline. */
+/** Baseline policy: starts all requests immediately, in order of arrival. */
 export class BeginAll extends ArrivalAdmission {
   override answered(): void {
-    // How late it was is no matter.
+    // The baseline does not use the answer rate.
   }
 
   override plan<Request extends ArrivedRequest>(
@@ -58,46 +76,61 @@
   }
 }
 
-/** A loop that has not paused for this part of an objective is behind. */
-const BEHIND_PART = 0.25;
-/** Callers give up an answer that is so many objectives late, whatever their limit. */
-const MOST_OBJECTIVES = 8;
-/** The pace is smoothed over about so many answers: many begin in the same turn. */
-const SMOOTHED = 50;
-/** Nobody is asked back sooner, milliseconds. */
-const SHORTEST_RETURN_MILLISECONDS = 10;
+/**
+ * The host is overloaded while its event loop has been busy without a pause for
+ * longer than this share of a request's objective.
+ */
+const BUSY_LOOP_OBJECTIVE_SHARE = 0.25;
+/**
+ * Callers abandon an answer that takes more than this multiple of the
+ * objective, whatever their own limit is.
+ */
+const MAXIMUM_WAIT_OBJECTIVES = 8;
+/**
+ * Approximate number of answers in the moving average of the interval between
+ * answers. It smooths out the many answers that start in the same turn of the
+ * loop.
+ */
+const MEAN_WINDOW_ANSWERS = 50;
+/** Minimum delay in a refusal before the caller retries, in milliseconds. */
+const MINIMUM_RETRY_AFTER_MILLISECONDS = 10;
 
 /**
- * Refuses at once what a host that is behind would answer too late to be of use, at
- * the pace at which answers begin now; what is begun is never refused.
+ * Refuses a request immediately if an overloaded host, at its current answer
+ * rate, would answer it too late to be useful. Requests that were started are
+ * never refused.
  *
- * Load: callers of a few organisations send a small host two or three times what it
- * can work off. Harm of beginning all: each turn of the loop reads all that came in
- * the one before, turns grow, and what is worked on has been given up by its caller.
- * Nothing is refused, and nobody is served.
+ * This applies when callers of a few organisations send a small host two or
+ * three times its capacity. If everything were started, each turn of the event
+ * loop would read all requests that arrived during the previous turn, the turns
+ * would get longer, and the host would work on requests that their callers have
+ * already abandoned. Nothing would be refused, and no caller would be served.
  *
- * As many requests as are in work take that many intervals between answers (Little's
- * law), whatever the interval is made of. A loop that has paused lately is not behind,
- * and begins all: slow endpoints are no reason to refuse.
+ * The expected wait is the number of requests in progress times the mean
+ * interval between answers (Little's law), regardless of what the interval
+ * consists of. A loop that has paused recently is not overloaded and starts
+ * everything, so slow endpoints are no reason to refuse.
  *
- * What would only be late is begun. Load: a little more than the host can work off.
- * Harm of refusing it: reading, refusing and the caller's further try on a connection
- * of its own take about half of what serving takes, so that each refusal makes others,
- * and fewer are served than without.
+ * A request that would be late but still useful is started. When the load is
+ * only slightly above capacity, reading and refusing a request and handling the
+ * caller's retry on a new connection cost about half as much as serving it.
+ * Each refusal would cause more load, and fewer requests would be served than
+ * without refusals.
  */
 export class BeginWithinLimit extends ArrivalAdmission {
-  private intervalMilliseconds = 0;
-  private answers = 0;
-  private answeredAt = -Infinity;
+  private meanAnswerIntervalMilliseconds = 0;
+  private sampleCount = 0;
+  private lastAnswerAt = -Infinity;
 
   override answered({busyMilliseconds}: LoopLoad, now: number): void {
-    const interval = now - this.answeredAt;
-    this.answeredAt = now;
-    // The pace is the host's own only while it is at work all the time.
+    const interval = now - this.lastAnswerAt;
+    this.lastAnswerAt = now;
+    // The interval measures the host's own rate only while the loop was busy
+    // during all of it.
     if (interval < busyMilliseconds) {
-      this.answers = Math.min(SMOOTHED, this.answers + 1);
-      this.intervalMilliseconds +=
-        (interval - this.intervalMilliseconds) / this.answers;
+      this.sampleCount = Math.min(MEAN_WINDOW_ANSWERS, this.sampleCount + 1);
+      this.meanAnswerIntervalMilliseconds +=
+        (interval - this.meanAnswerIntervalMilliseconds) / this.sampleCount;
     }
   }
 
@@ -109,13 +142,19 @@
     const begun: Request[] = [];
     const refused: RefusedArrival<Request>[] = [];
     for (const request of arrived) {
-      const inWork = load.unanswered + begun.length;
-      const ahead = inWork * this.intervalMilliseconds;
-      const isTooLate = now + ahead - request.cameAt > longestUseful(request);
-      if (inWork > 0 && isTooLate && isBehind(request, load)) {
+      const requestsAhead = load.unanswered + begun.length;
+      const expectedWaitMilliseconds =
+        requestsAhead * this.meanAnswerIntervalMilliseconds;
+      const isTooLate =
+        now + expectedWaitMilliseconds - request.cameAt >
+        maximumUsefulWaitMilliseconds(request);
+      if (requestsAhead > 0 && isTooLate && isLoopOverloaded(request, load)) {
         refused.push({
           request,
-          retryAfterMilliseconds: Math.max(SHORTEST_RETURN_MILLISECONDS, ahead),
+          retryAfterMilliseconds: Math.max(
+            MINIMUM_RETRY_AFTER_MILLISECONDS,
+            expectedWaitMilliseconds,
+          ),
         });
       } else {
         begun.push(request);
@@ -125,17 +164,20 @@
   }
 }
 
-/** From its first byte on, milliseconds. */
-function longestUseful({
+/** Returns the longest useful wait from the first byte, in milliseconds. */
+function maximumUsefulWaitMilliseconds({
   objectiveMilliseconds,
   limitMilliseconds,
 }: ArrivedRequest): number {
-  return Math.min(limitMilliseconds, objectiveMilliseconds * MOST_OBJECTIVES);
+  return Math.min(
+    limitMilliseconds,
+    objectiveMilliseconds * MAXIMUM_WAIT_OBJECTIVES,
+  );
 }
 
-function isBehind(
+function isLoopOverloaded(
   {objectiveMilliseconds}: ArrivedRequest,
   {busyMilliseconds}: LoopLoad,
 ): boolean {
-  return busyMilliseconds > objectiveMilliseconds * BEHIND_PART;
+  return busyMilliseconds > objectiveMilliseconds * BUSY_LOOP_OBJECTIVE_SHARE;
 }
--- a/packages/decisions/src/data-center-trust.ts
+++ b/packages/decisions/src/data-center-trust.ts
@@ -1,74 +1,94 @@
 import {EndpointTrust} from './endpoint-trust.js';
 
 /**
- * So many endpoints of a data centre that are silent at once are taken for its being
- * cut off; one alone may have crashed.
+ * Number of endpoints of a data centre that have to be silent at the same time
+ * before the data centre is considered unreachable. A single silent endpoint
+ * may have crashed.
  */
-const SILENT_ENDPOINTS = 2;
+const MINIMUM_SILENT_ENDPOINTS = 2;
 
-/** What is believed of one data centre. */
-class DataCenterBelief {
-  readonly trust = new EndpointTrust();
-  /** Endpoints that fell silent since any of them last spoke. */
-  readonly silent = new Set<string>();
+/** Circuit breaker state of one data centre. */
+class DataCenterState {
+  readonly breaker = new EndpointTrust();
+  /**
+   * Endpoints that became silent since any endpoint of the data centre last
+   * responded.
+   */
+  readonly silentEndpoints = new Set<string>();
 }
 
 /**
- * Whether other data centres are within reach, by the silence of their endpoints.
+ * Circuit breaker for other data centres, based on the silence of their
+ * endpoints.
  *
- * Load: this data centre is cut off from the others, and callers still come. Harm of
- * judging each endpoint by itself: every one of them is tried in turn, again and again,
- * and each try costs its caller the time of a connection that does not come.
+ * When this data centre is cut off from the others while callers still arrive,
+ * judging each endpoint on its own would try all of them in turn, repeatedly.
+ * Each attempt costs its caller the time of a connection that is never
+ * established.
  */
 export class DataCenterTrust {
-  private readonly beliefs = new Map<string, DataCenterBelief>();
+  private readonly states = new Map<string, DataCenterState>();
 
-  /** @param own The data centre of this host; it is never judged as a whole. */
-  constructor(private readonly own: string) {}
+  /**
+   * @param ownDataCenter The data centre of this host, which is never
+   *     considered unreachable as a whole.
+   */
+  constructor(private readonly ownDataCenter: string) {}
 
-  /** One of its endpoints gives no connection, or says nothing for too long. */
+  /**
+   * Records that an endpoint accepted no connection or sent nothing within its
+   * timeout.
+   *
+   * @param now Monotonic clock, in milliseconds.
+   */
   fellSilent(dataCenter: string, endpoint: string, now: number): void {
-    if (dataCenter === this.own) {
+    if (dataCenter === this.ownDataCenter) {
       return;
     }
-    const {silent, trust} = this.belief(dataCenter);
-    silent.add(endpoint);
-    if (silent.size >= SILENT_ENDPOINTS) {
-      trust.fellSilent(now);
+    const {silentEndpoints, breaker} = this.stateOf(dataCenter);
+    silentEndpoints.add(endpoint);
+    if (silentEndpoints.size >= MINIMUM_SILENT_ENDPOINTS) {
+      breaker.fellSilent(now);
     }
   }
 
-  /** Any of its endpoints answered: it is within reach. */
+  /**
+   * Records a response of any endpoint, which shows that the data centre is
+   * reachable.
+   */
   spoke(dataCenter: string): void {
-    const belief = this.beliefs.get(dataCenter);
-    belief?.silent.clear();
-    belief?.trust.spoke();
+    const state = this.states.get(dataCenter);
+    state?.silentEndpoints.clear();
+    state?.breaker.spoke();
   }
 
-  /** A request was sent there. */
+  /** Records that a request was sent to the data centre. */
   sent(dataCenter: string): void {
-    this.beliefs.get(dataCenter)?.trust.sent();
+    this.states.get(dataCenter)?.breaker.sent();
   }
 
   /**
-   * A request to it ended, whatever came of it: a trial that told nothing must not
-   * keep the next one from being made.
+   * Records that a request to the data centre ended, whatever its outcome. A
+   * trial request without a conclusive outcome must not block the next one.
    */
   released(dataCenter: string): void {
-    this.beliefs.get(dataCenter)?.trust.released();
+    this.states.get(dataCenter)?.breaker.released();
   }
 
-  /** False while it is paused, or one request tries it out after a pause. */
+  /**
+   * Whether requests may be sent to the data centre: false while the breaker is
+   * open, or while a trial request is in progress after that.
+   */
   isTrusted(dataCenter: string, now: number): boolean {
-    return this.beliefs.get(dataCenter)?.trust.isTrusted(now) ?? true;
+    return this.states.get(dataCenter)?.breaker.isTrusted(now) ?? true;
   }
 
-  private belief(dataCenter: string): DataCenterBelief {
-    let belief = this.beliefs.get(dataCenter);
-    if (belief === undefined) {
-      belief = new DataCenterBelief();
-      this.beliefs.set(dataCenter, belief);
+  private stateOf(dataCenter: string): DataCenterState {
+    let state = this.states.get(dataCenter);
+    if (state === undefined) {
+      state = new DataCenterState();
+      this.states.set(dataCenter, state);
     }
-    return belief;
+    return state;
   }
 }
--- a/packages/decisions/src/endpoint-trust.ts
+++ b/packages/decisions/src/endpoint-trust.ts
@@ -1,117 +1,132 @@
 /**
- * After a first failure an endpoint gets nothing for this long. Load: an endpoint
- * has crashed and the list still names it for three of its heartbeats. Harm:
- * without a pause each request placed there costs its caller a resend.
+ * Time for which the breaker stays open after a first failure, in milliseconds.
+ * A crashed endpoint stays on the list for three of its heartbeats, and without
+ * a pause each request placed there would cost its caller a resend.
  */
-const FIRST_PAUSE_MILLISECONDS = 500;
-/** A failing endpoint is tried again at least this often: it may have restarted. */
-const LONGEST_PAUSE_MILLISECONDS = 4_000;
-/** The mean share of failed answers follows about so many answers. */
-const SHARE_SAMPLES = 12;
+const MINIMUM_OPEN_MILLISECONDS = 500;
 /**
- * An endpoint that fails this much more of its answers than its service's best
- * half is passed over. Some services fail a part of their answers everywhere, so that
- * the share itself says nothing.
+ * Maximum time between two trial requests to a failing endpoint, in
+ * milliseconds, because it may have restarted.
  */
-const EXCESS_SHARE = 0.25;
+const MAXIMUM_OPEN_MILLISECONDS = 4_000;
+/**
+ * Approximate number of answers covered by the mean share of failed answers.
+ */
+const MEAN_WINDOW_ANSWERS = 12;
+/**
+ * An endpoint is avoided if its share of failed answers exceeds that of the
+ * better half of its service by more than this. Some services fail a share of
+ * their answers on every endpoint, so the share alone is not conclusive.
+ */
+const MAXIMUM_EXCESS_FAILED_SHARE = 0.25;
 
-/** What the answers of one endpoint say of it. No health checks are made. */
+/**
+ * Circuit breaker for one endpoint, driven by its answers. There are no health
+ * checks.
+ */
 export class EndpointTrust {
-  private pauseMilliseconds = 0;
-  private pausedUntil = -Infinity;
-  private failedShareMean = 0;
-  private probes = 0;
+  private openMilliseconds = 0;
+  private openUntil = -Infinity;
+  private meanFailedShare = 0;
+  private trials = 0;
   private isSilent = false;
 
-  /** The mean share of failed answers. */
+  /** Moving average of the share of failed answers. */
   get failedShare(): number {
-    return this.failedShareMean;
+    return this.meanFailedShare;
   }
 
-  /** False while it is paused, or one request tries it out after a pause. */
+  /**
+   * Whether requests may be sent: false while the breaker is open, or while a
+   * trial request is in progress after that.
+   */
   isTrusted(now: number): boolean {
-    return now >= this.pausedUntil && !(this.isOnTrial && this.probes > 0);
+    return now >= this.openUntil && !(this.isOnTrial && this.trials > 0);
   }
 
-  /** True from a failure until the next good answer. */
+  /** True from a failure until the next successful answer. */
   get isOnTrial(): boolean {
-    return this.pauseMilliseconds > 0;
+    return this.openMilliseconds > 0;
   }
 
-  /** A request was sent. */
+  /** Records that a request was sent. */
   sent(): void {
     if (this.isOnTrial) {
-      this.probes++;
+      this.trials++;
     }
   }
 
   /**
-   * It says nothing for much longer than others. Load: a data centre is cut off, and
-   * packets are dropped: no connection breaks. Harm of learning from breaks alone:
-   * requests go there until their callers' time is over, each of them lost.
+   * Records that the endpoint has been silent for much longer than others. When
+   * a data centre is cut off and packets are dropped, no connection breaks. If
+   * only broken connections counted, requests would be sent there until their
+   * callers time out, and each of them would be lost.
    */
   fellSilent(now: number): void {
-    if (now >= this.pausedUntil) {
+    if (now >= this.openUntil) {
       this.isSilent = true;
-      this.pause(now);
+      this.trip(now);
     }
   }
 
-  /** Any answer came: what was taken for silence was slowness. */
+  /**
+   * Records a response of any kind: the endpoint was slow rather than silent.
+   */
   spoke(): void {
     if (this.isSilent) {
       this.isSilent = false;
-      this.pauseMilliseconds = 0;
-      this.pausedUntil = -Infinity;
-      this.probes = 0;
+      this.openMilliseconds = 0;
+      this.openUntil = -Infinity;
+      this.trials = 0;
     }
   }
 
-  /** A whole, good answer came. */
+  /** Records a complete, successful answer. */
   succeeded(): void {
-    this.learn(0);
+    this.updateFailedShare(0);
     this.isSilent = false;
-    this.pauseMilliseconds = 0;
-    this.probes = 0;
+    this.openMilliseconds = 0;
+    this.trials = 0;
   }
 
-  /** It answered that the request failed. */
+  /** Records an answer that says that the request failed. */
   answeredFailure(): void {
-    this.learn(1);
-    this.probes = Math.max(0, this.probes - 1);
+    this.updateFailedShare(1);
+    this.trials = Math.max(0, this.trials - 1);
   }
 
-  /** No connection, a broken one, silence, or no answer in the protocol. */
+  /** Records a failed or broken connection, silence, or an invalid response. */
   broke(now: number): void {
-    this.learn(1);
-    this.probes = 0;
-    if (now >= this.pausedUntil) {
-      this.pause(now);
+    this.updateFailedShare(1);
+    this.trials = 0;
+    if (now >= this.openUntil) {
+      this.trip(now);
     }
   }
 
-  /** A request ended and says nothing of the endpoint. */
+  /** Records the end of a request that is not conclusive about the endpoint. */
   released(): void {
-    this.probes = Math.max(0, this.probes - 1);
+    this.trials = Math.max(0, this.trials - 1);
   }
 
-  private pause(now: number): void {
-    this.probes = 0;
-    this.pauseMilliseconds = Math.min(
-      LONGEST_PAUSE_MILLISECONDS,
-      Math.max(FIRST_PAUSE_MILLISECONDS, 2 * this.pauseMilliseconds),
+  private trip(now: number): void {
+    this.trials = 0;
+    this.openMilliseconds = Math.min(
+      MAXIMUM_OPEN_MILLISECONDS,
+      Math.max(MINIMUM_OPEN_MILLISECONDS, 2 * this.openMilliseconds),
     );
-    this.pausedUntil = now + this.pauseMilliseconds;
+    this.openUntil = now + this.openMilliseconds;
   }
 
-  private learn(failed: 0 | 1): void {
-    this.failedShareMean += (failed - this.failedShareMean) / SHARE_SAMPLES;
+  private updateFailedShare(failed: 0 | 1): void {
+    this.meanFailedShare +=
+      (failed - this.meanFailedShare) / MEAN_WINDOW_ANSWERS;
   }
 }
 
 /**
- * An endpoint whose mean share of failed answers is above this fails clearly more than
- * the better half of its service.
+ * Returns the share of failed answers above which an endpoint fails clearly
+ * more often than the better half of its service.
  *
  * @param allShares The shares of all endpoints of the service.
  * @example
@@ -122,5 +137,5 @@
 export function failedShareLimit(allShares: readonly number[]): number {
   const sorted = [...allShares].sort((one, other) => one - other);
   const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
-  return median + EXCESS_SHARE;
+  return median + MAXIMUM_EXCESS_FAILED_SHARE;
 }
--- a/packages/decisions/src/link-delay.ts
+++ b/packages/decisions/src/link-delay.ts
@@ -1,18 +1,25 @@
-/** The smoothed mean follows about eight times, the deviation four. */
+/**
+ * Gains of the smoothed mean (about eight samples) and of the mean deviation
+ * (about four).
+ */
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
-/** A limit is the mean and so many deviations. */
-const DEVIATIONS = 4;
-/** What took longer than a limit may take so many times as long. */
-const EXPIRY_FACTOR = 2;
-/** Nothing waits longer at a link that still serves. */
-const LONGEST_MILLISECONDS = 2_000;
+/** A limit is the mean plus this many mean deviations. */
+const DEVIATION_FACTOR = 4;
+/** After a timeout, the limit backs off to this multiple of the time waited. */
+const TIMEOUT_BACKOFF_FACTOR = 2;
+/**
+ * Maximum additional delay, in milliseconds. A link that still works delays
+ * nothing for longer.
+ */
+const MAXIMUM_DELAY_MILLISECONDS = 2_000;
 
 /**
- * How long what comes in waits at the host's own link, estimated as TCP estimates its
- * retransmission timeout. Load: callers fill the link of one host, and whatever comes in
- * waits 0.5 to over 1 s. Harm of limits for an idle host: connections, loans and the
- * store's answers expire one after the other, and the retries keep the link full.
+ * Estimates how long incoming data waits at the host's own link, in the way TCP
+ * estimates its retransmission timeout. When callers saturate the link of one
+ * host, incoming data waits for 0.5 to over 1 s. With limits meant for an idle
+ * host, connections, loans and responses of the store would time out one after
+ * the other, and the retries would keep the link saturated.
  *
  * @example
  * ```ts
@@ -26,40 +33,45 @@
   private deviation = 0;
   private backoff = 0;
 
-  /** What a peer sends without delay came after so long, milliseconds. */
+  /**
+   * Records the delay of data that the peer sent immediately, in milliseconds.
+   */
   arrived(milliseconds: number): void {
-    this.learn(Math.min(LONGEST_MILLISECONDS, milliseconds));
+    this.updateMean(Math.min(MAXIMUM_DELAY_MILLISECONDS, milliseconds));
     this.backoff = 0;
   }
 
   /**
-   * It had not come after so long, milliseconds, and is not waited for any longer.
-   * Several that expire together count as one.
+   * Records a timeout after the given time, in milliseconds. Several timeouts
+   * at the same moment count as one.
    */
   expired(milliseconds: number): void {
-    const atLeast = Math.min(LONGEST_MILLISECONDS, milliseconds);
-    if (atLeast > this.mean) {
-      this.learn(atLeast);
+    const minimumDelay = Math.min(MAXIMUM_DELAY_MILLISECONDS, milliseconds);
+    if (minimumDelay > this.mean) {
+      this.updateMean(minimumDelay);
     }
-    this.backoff = Math.max(this.backoff, EXPIRY_FACTOR * atLeast);
+    this.backoff = Math.max(
+      this.backoff,
+      TIMEOUT_BACKOFF_FACTOR * minimumDelay,
+    );
   }
 
   /**
-   * To be added to each limit of a call.
+   * Returns the delay to add to each timeout of a call.
    *
-   * @param isCongested Whether the link is full or was so recently.
-   * @returns Milliseconds; 0 on a free link, where lateness is the other side's.
+   * @param isCongested Whether the link is full or was full recently.
+   * @returns Milliseconds; 0 on an idle link, where the peer causes any delay.
    */
   milliseconds(isCongested: boolean): number {
-    const expected = this.mean + DEVIATIONS * this.deviation;
+    const expected = this.mean + DEVIATION_FACTOR * this.deviation;
     return isCongested
-      ? Math.min(LONGEST_MILLISECONDS, Math.max(this.backoff, expected))
+      ? Math.min(MAXIMUM_DELAY_MILLISECONDS, Math.max(this.backoff, expected))
       : 0;
   }
 
-  private learn(milliseconds: number): void {
-    const change = milliseconds - this.mean;
-    this.mean += MEAN_GAIN * change;
-    this.deviation += DEVIATION_GAIN * (Math.abs(change) - this.deviation);
+  private updateMean(milliseconds: number): void {
+    const difference = milliseconds - this.mean;
+    this.mean += MEAN_GAIN * difference;
+    this.deviation += DEVIATION_GAIN * (Math.abs(difference) - this.deviation);
   }
 }
--- a/packages/decisions/src/link-load.ts
+++ b/packages/decisions/src/link-load.ts
@@ -1,63 +1,87 @@
-/** What has come in on a host's link since its start. */
-export interface LinkUse {
-  /** Bytes on connections that callers opened. */
+/** Bytes received on a host's link since the host started. */
+export interface LinkTraffic {
+  /** Bytes received on connections that callers opened. */
   readonly callerBytes: number;
-  /** Bytes on all connections, callers' among them. */
+  /** Bytes received on all connections, including those of callers. */
   readonly bytes: number;
 }
 
-interface Sample extends LinkUse {
+interface Sample extends LinkTraffic {
   readonly at: number;
 }
 
-/** Rates are taken over so long. */
+/** Length of the window over which rates are computed, in milliseconds. */
 const WINDOW_MILLISECONDS = 800;
-/** A rate over less than this says nothing. */
-const SHORTEST_WINDOW_MILLISECONDS = 600;
-/** From this part of its capacity on, what comes in waits at the link... */
-const FULL_PART = 0.85;
-/** ... and below this it doesn't any more. */
-const FREE_PART = 0.6;
-/** A link that carries all it can, until it is not full any more: headers aren't counted. */
-const SATURATED_PART = 0.92;
-/** Callers fill the link, rather than the store's records at a start. */
-const CALLERS_PART = 0.5;
-/** Of what callers leave, for one answer; endpoints' answers take the rest. */
-const ANSWER_PART = 0.5;
-/** An answer of this size has to get through, whatever callers leave. */
-const SMALLEST_ANSWER_BYTES = 16_384;
+/** Minimum length of the window for a meaningful rate, in milliseconds. */
+const MINIMUM_WINDOW_MILLISECONDS = 600;
+/** Share of the capacity from which incoming data waits at the link. */
+const FULL_SHARE = 0.85;
+/** Share of the capacity below which incoming data no longer waits. */
+const FREE_SHARE = 0.6;
 /**
- * Whether callers fill a host's inbound link. Load: callers of one organisation are led
- * to one host, and their bodies are 1.3 to 3 times what its link takes. Harm of not
- * knowing: whatever comes in waits over a second at the link, and the host takes that
- * for the silence of endpoints and whole data centres.
+ * Share of the capacity from which the link is saturated. It is below 1 because
+ * headers are not counted. The link stays saturated until its rate falls below
+ * `FULL_SHARE`.
+ */
+const SATURATED_SHARE = 0.92;
+/**
+ * Minimum share of the capacity that callers have to use for the link to become
+ * full. Below it, the load is due to the store's records during startup.
+ */
+const MINIMUM_CALLER_SHARE = 0.5;
+/**
+ * Share of the capacity left by callers that one answer may use; the answers of
+ * endpoints use the rest.
+ */
+const ANSWER_SHARE = 0.5;
+/**
+ * Minimum answer size in bytes; an answer of this size has to fit, however
+ * little capacity callers leave.
+ */
+const MINIMUM_ANSWER_BYTES = 16_384;
+/**
+ * Detects whether callers fill a host's inbound link. When callers of one
+ * organisation are routed to one host, their request bodies can amount to 1.3
+ * to 3 times the capacity of its link. Incoming data then waits at the link for
+ * over a second, and without this detection the host would attribute the delay
+ * to silent endpoints and data centres.
  */
 export class LinkLoad {
   private readonly samples: Sample[] = [];
   private isLinkFull = false;
   private wasSaturated = false;
 
-  /** @param capacity Of the link, bytes a second; 0 where it is not known. */
-  constructor(private readonly capacity: number) {}
+  /**
+   * @param capacityBytesPerSecond Capacity of the link in bytes per second; 0
+   *     if it is not known.
+   */
+  constructor(private readonly capacityBytesPerSecond: number) {}
 
-  /** Bytes received a second on all connections; 0 before it is known. */
+  /**
+   * Bytes received per second on all connections; 0 until it has been measured.
+   */
   get bytesPerSecond(): number {
-    return this.perSecond(({bytes}) => bytes);
+    return this.rate(({bytes}) => bytes);
   }
 
-  /** Bytes received a second from callers; 0 before it is known. */
+  /** Bytes received per second from callers; 0 until it has been measured. */
   get callerBytesPerSecond(): number {
-    return this.perSecond(({callerBytes}) => callerBytes);
+    return this.rate(({callerBytes}) => callerBytes);
   }
 
-  /** Whether what comes in waits at the link: lateness says nothing of others. */
+  /**
+   * Whether incoming data waits at the link, so that delays are not evidence
+   * against a peer.
+   */
   get isFull(): boolean {
     return this.isLinkFull;
   }
 
   /**
-   * Largest answer that crosses the link within a time, beside what callers send.
+   * Returns the largest answer that can cross the link within the given time,
+   * beside the load of callers.
    *
+   * @param milliseconds Time in which the answer has to arrive.
    * @returns Bytes.
    * @example
    * ```ts
@@ -65,55 +89,62 @@
    * ```
    */
   answerBytes(milliseconds: number): number {
-    const left = Math.max(0, this.capacity - this.callerBytesPerSecond);
+    const remaining = Math.max(
+      0,
+      this.capacityBytesPerSecond - this.callerBytesPerSecond,
+    );
     return Math.max(
-      SMALLEST_ANSWER_BYTES,
-      (ANSWER_PART * left * milliseconds) / 1_000,
+      MINIMUM_ANSWER_BYTES,
+      (ANSWER_SHARE * remaining * milliseconds) / 1_000,
     );
   }
 
-  /** Whether callers send as much as the link carries, or more. */
+  /** Whether callers send at least as much as the link can carry. */
   get isSaturated(): boolean {
     return this.wasSaturated;
   }
 
   /**
-   * Takes what has come in; to be called some times a second.
+   * Records the received bytes. Must be called several times a second.
    *
-   * @param now On the monotonic clock, milliseconds.
+   * @param now Monotonic clock, in milliseconds.
    */
-  observe(now: number, use: LinkUse): void {
+  observe(now: number, use: LinkTraffic): void {
     this.samples.push({at: now, ...use});
     const oldest = now - WINDOW_MILLISECONDS;
     while ((this.samples[1]?.at ?? Infinity) <= oldest) {
       this.samples.shift();
     }
-    if (this.capacity > 0) {
-      this.judge();
+    if (this.capacityBytesPerSecond > 0) {
+      this.updateState();
     }
   }
 
-  private judge(): void {
+  private updateState(): void {
     const {bytesPerSecond, callerBytesPerSecond} = this;
-    const isPressed = bytesPerSecond >= FULL_PART * this.capacity;
-    if (isPressed && callerBytesPerSecond >= CALLERS_PART * this.capacity) {
+    const isBusy = bytesPerSecond >= FULL_SHARE * this.capacityBytesPerSecond;
+    if (
+      isBusy &&
+      callerBytesPerSecond >= MINIMUM_CALLER_SHARE * this.capacityBytesPerSecond
+    ) {
       this.isLinkFull = true;
-    } else if (bytesPerSecond < FREE_PART * this.capacity) {
+    } else if (bytesPerSecond < FREE_SHARE * this.capacityBytesPerSecond) {
       this.isLinkFull = false;
     }
     this.wasSaturated =
       this.isLinkFull &&
       bytesPerSecond >=
-        (this.wasSaturated ? FULL_PART : SATURATED_PART) * this.capacity;
+        (this.wasSaturated ? FULL_SHARE : SATURATED_SHARE) *
+          this.capacityBytesPerSecond;
   }
 
-  private perSecond(of: (use: LinkUse) => number): number {
+  private rate(of: (use: LinkTraffic) => number): number {
     const [first] = this.samples;
     const last = this.samples.at(-1);
     if (
       first === undefined ||
       last === undefined ||
-      last.at - first.at < SHORTEST_WINDOW_MILLISECONDS
+      last.at - first.at < MINIMUM_WINDOW_MILLISECONDS
     ) {
       return 0;
     }
--- a/packages/decisions/src/resend-budget.ts
+++ b/packages/decisions/src/resend-budget.ts
@@ -1,56 +1,59 @@
-/** The fleet's bound on resends to one service. */
+/** Fleet-wide limit on resends to one service. */
 export interface ResendLimits {
-  /** Resends for each request. */
+  /** Maximum number of resends per request. */
   readonly ratio: number;
-  /** Resends in one window beyond the ratio, over all hosts. */
+  /** Additional resends per window, over all hosts. */
   readonly extra: number;
   readonly windowMilliseconds: number;
 }
 
 /**
- * This part of the bound is used. Hosts see different windows, and a resend may
- * reach the endpoint in a later window than the one it was counted in.
+ * Share of the limit that is used. Hosts have different windows, and a resend
+ * may reach the endpoint in a later window than the one in which it was
+ * counted.
  */
-const USED_PART = 0.85;
+const USED_SHARE = 0.85;
 
 /**
- * One host's share of the fleet's bound on resends to one service. Load: an
- * endpoint fails, and each of its requests could be sent again by its host and by
- * its caller. Harm: resends multiply the load on the endpoints that are left.
+ * One host's share of the fleet-wide limit on resends to one service. When an
+ * endpoint fails, each of its requests could be sent again by its host and by
+ * its caller, and the resends would multiply the load on the remaining
+ * endpoints.
  */
 export class ResendBudget {
-  private readonly requests: number[] = [];
-  private readonly resends: number[] = [];
+  private readonly requestTimes: number[] = [];
+  private readonly resendTimes: number[] = [];
 
   constructor(private readonly limits: ResendLimits) {}
 
-  /** A caller's request for the service arrived. */
+  /** Records a request of a caller to the service. */
   requested(now: number): void {
-    this.requests.push(now);
-    this.forget(now);
+    this.requestTimes.push(now);
+    this.dropExpired(now);
   }
 
   /**
-   * Takes leave for one resend; false where none is left.
+   * Takes one resend from the budget.
    *
-   * @param hosts Hosts that share the bound.
+   * @param hosts Number of hosts that share the limit.
+   * @returns False if the budget is exhausted.
    */
   take(hosts: number, now: number): boolean {
-    this.forget(now);
+    this.dropExpired(now);
     const {ratio, extra} = this.limits;
     const allowed =
-      ratio * this.requests.length + Math.floor(extra / Math.max(1, hosts));
-    if (this.resends.length + 1 > USED_PART * allowed) {
+      ratio * this.requestTimes.length + Math.floor(extra / Math.max(1, hosts));
+    if (this.resendTimes.length + 1 > USED_SHARE * allowed) {
       return false;
     }
-    this.resends.push(now);
+    this.resendTimes.push(now);
     return true;
   }
 
-  private forget(now: number): void {
+  private dropExpired(now: number): void {
     const oldest = now - this.limits.windowMilliseconds;
-    dropBefore(this.requests, oldest);
-    dropBefore(this.resends, oldest);
+    dropBefore(this.requestTimes, oldest);
+    dropBefore(this.resendTimes, oldest);
   }
 }
 
--- a/packages/decisions/src/rotation-policy.ts
+++ b/packages/decisions/src/rotation-policy.ts
@@ -1,103 +1,157 @@
-/** What a host knows of its own load and of the balancer. */
+/** The host's own load, and what it observes of the load balancer. */
 export interface RotationInput {
-  /** More comes in than the host carries: what it serves would be late or lost. */
+  /**
+   * Whether the host receives more than it can handle, so that answers would be
+   * late or lost.
+   */
   readonly isOverloaded: boolean;
-  /** Connections that callers have opened since the start. */
+  /** Connections that callers have opened since the host started. */
   readonly connections: number;
 }
 
-/** Where a host stands in the balancer's rotation. */
+/** A host's state in the load balancer's rotation. */
 export enum RotationState {
-  /** Takes new connections. */
+  /** Accepts new connections. */
   Serving = 'serving',
-  /** Says that it is not ready; the balancer may not know yet. */
+  /**
+   * Reports that it is not ready; the load balancer may not have noticed yet.
+   */
   Withdrawing = 'withdrawing',
-  /** Gets no new connections, and ends those that it has. */
+  /** Receives no new connections, and closes the existing ones. */
   Shedding = 'shedding',
-  /** Carries what is left, and is about to take new connections again. */
+  /**
+   * Serves its remaining connections, and is about to accept new ones again.
+   */
   Returning = 'returning',
-  /** Overloaded, and serves: nobody else takes its callers. */
+  /**
+   * Serves although it is overloaded, because no other host takes its callers.
+   */
   Needed = 'needed',
 }
 
-/** Decides when a host leaves the balancer's rotation, and when its callers have to. */
+/**
+ * Decides when a host leaves the load balancer's rotation, and when its
+ * connections are closed.
+ */
 export abstract class RotationPolicy {
-  /** Where it stands now. */
+  /** The current state. */
   abstract get state(): RotationState;
 
-  /** Whether the balancer may send new connections. */
+  /** Whether the load balancer may send new connections. */
   abstract get takesConnections(): boolean;
 
-  /** Whether answers that begin now end their connections. */
+  /** Whether connections are closed after answers that start now. */
   abstract get endsConnections(): boolean;
 
   /**
-   * Somebody has asked whether the host is ready.
+   * Records a readiness probe.
    *
-   * @param now Monotonic clock, milliseconds.
-   * @param isReady What the answer was.
+   * @param now Monotonic clock, in milliseconds.
+   * @param isReady The response to the probe.
    */
   abstract probed(now: number, isReady: boolean): void;
 
   /**
-   * Takes note of the load; to be called some times a second.
+   * Updates the state from the current load. Must be called several times a
+   * second.
    *
-   * @param now Monotonic clock, milliseconds.
+   * @param now Monotonic clock, in milliseconds.
    */
   abstract observe(now: number, input: RotationInput): void;
 }
 
-/** Stays in the rotation, whatever comes: the baseline. */
+/** Baseline policy: always stays in the rotation. */
 export class AlwaysServing extends RotationPolicy {
   override readonly state = RotationState.Serving;
   override readonly takesConnections = true;
   override readonly endsConnections = false;
 
   override probed(): void {
-    // It never says anything else.
+    // The state does not depend on probes.
   }
 
   override observe(): void {
-    // Its load is no matter.
+    // The state does not depend on the load.
   }
 }
 
-/** The balancer takes a host out after so many answers in a row that it is not ready. */
-const REFUSED_PROBES = 2;
-/** The balancer's probes are at least so far apart; others' between them don't count. */
-const PROBE_MILLISECONDS = 800;
-/** Probes that wait behind an overload are missed; so long after it nobody comes. */
-const UNSEEN_PROBES_MILLISECONDS = 3_000;
-/** New connections are counted over so long. */
-const SPAN_MILLISECONDS = 1_500;
-/** What comes before the last of so many spans was on its way to a host that is out. */
-const LATE_SPANS = 3;
-/** Observations this far apart tell of a process that was held up. */
-const HELD_UP_MILLISECONDS = 1_000;
-/** A host out of rotation that gets this part of its usual connections is needed. */
-const NEEDED_PART = 0.5;
-/** A host that is out gets some connections nevertheless. */
-const STRAY_CONNECTIONS = 4;
-/** An overload that goes on for so long without its callers is no reason to stay away. */
-const LONGEST_ABSENCE_MILLISECONDS = 8_000;
-/** The overload has been over for so long before the host returns. */
-const SHORTEST_CALM_MILLISECONDS = 2_000;
-/** The longest calm that is asked for, however often the host was overloaded. */
-const LONGEST_CALM_MILLISECONDS = 4_000;
-/** An overload this soon after a return asks for a calm twice as long. */
+/**
+ * Number of consecutive "not ready" responses after which the load balancer
+ * removes a host.
+ */
+const REMOVAL_PROBES = 2;
+/**
+ * Minimum interval between two probes of the load balancer, in milliseconds.
+ * Probes of other clients in between are not counted.
+ */
+const MINIMUM_PROBE_INTERVAL_MILLISECONDS = 800;
+/**
+ * Time after which the host is assumed to be out of the rotation even if too
+ * few probes were seen, in milliseconds. Probes that are delayed by an overload
+ * can be missed.
+ */
+const ASSUMED_REMOVAL_MILLISECONDS = 3_000;
+/**
+ * Length of the windows in which new connections are counted, in milliseconds.
+ */
+const CONNECTION_WINDOW_MILLISECONDS = 1_500;
+/**
+ * Number of windows to wait for. Connections before the last of them may have
+ * been on their way to a host that is already out of the rotation.
+ */
+const SETTLING_WINDOWS = 3;
+/**
+ * Time between observations from which the process is considered to have been
+ * stalled, in milliseconds.
+ */
+const STALL_MILLISECONDS = 1_000;
+/**
+ * A host that is out of the rotation is needed if it still receives this share
+ * of its usual connections.
+ */
+const NEEDED_CONNECTION_SHARE = 0.5;
+/**
+ * Number of connections per window that a host out of the rotation may receive
+ * anyway.
+ */
+const MAXIMUM_STRAY_CONNECTIONS = 4;
+/**
+ * Maximum time out of the rotation, in milliseconds. An overload that lasts
+ * this long without the host's callers is no reason to stay out.
+ */
+const MAXIMUM_ABSENCE_MILLISECONDS = 8_000;
+/**
+ * Minimum time after the end of an overload before the host returns, in
+ * milliseconds.
+ */
+const MINIMUM_RECOVERY_MILLISECONDS = 2_000;
+/**
+ * Maximum time without overload that is required before a return, in
+ * milliseconds, regardless of how often the host was overloaded.
+ */
+const MAXIMUM_RECOVERY_MILLISECONDS = 4_000;
+/**
+ * If the host is overloaded again within this time after a return, the required
+ * time without overload doubles. In milliseconds.
+ */
 const RELAPSE_MILLISECONDS = 8_000;
-/** A host that is needed does not withdraw again before; longer each time. */
-const SHORTEST_NEEDED_MILLISECONDS = 10_000;
-const LONGEST_NEEDED_MILLISECONDS = 20_000;
+/**
+ * Time for which a needed host does not withdraw again, in milliseconds. It
+ * doubles each time, up to the maximum.
+ */
+const MINIMUM_NEEDED_MILLISECONDS = 10_000;
+const MAXIMUM_NEEDED_MILLISECONDS = 20_000;
 
 /**
- * Leaves the rotation while the host is overloaded. Load: all callers of one
- * organisation come to one host and fill its link. Harm of staying: a refused caller
- * comes back on the connection that it has, so that its requests and retries keep the
- * host overloaded while others have room.
+ * Leaves the rotation while the host is overloaded. This applies when all
+ * callers of one organisation reach one host and fill its link. If the host
+ * stayed in the rotation, refused callers would return on their existing
+ * connections, and their requests and retries would keep the host overloaded
+ * while other hosts have capacity.
  *
- * Connections are ended only once the balancer sends their callers elsewhere. Where
- * connections go on coming, no other host takes them, and the host serves what it can.
+ * Connections are closed only after the load balancer has started to send their
+ * callers to other hosts. If new connections continue to arrive, no other host
+ * takes them, and the host serves as many as it can.
  *
  * @example
  * ```ts
@@ -107,183 +161,199 @@
  * ```
  */
 export class WithdrawWhileOverloaded extends RotationPolicy {
-  private current = RotationState.Serving;
-  private since = -Infinity;
-  /** When the host last said that it is not ready. */
+  private currentState = RotationState.Serving;
+  private stateSince = -Infinity;
+  /** When the host last started to report that it is not ready. */
   private absentSince = -Infinity;
   private observedAt = -Infinity;
-  private refusedProbes = 0;
-  private refusedAt = -Infinity;
-  private readonly arrivals = new ConnectionSpans();
+  private notReadyProbes = 0;
+  private lastNotReadyAt = -Infinity;
+  private readonly connectionWindows = new ConnectionWindows();
   private usualConnections = 0;
-  private calmSince: number | undefined;
-  private calmMilliseconds = SHORTEST_CALM_MILLISECONDS;
-  private neededMilliseconds = SHORTEST_NEEDED_MILLISECONDS;
+  private recoveredSince: number | undefined;
+  private requiredRecoveryMilliseconds = MINIMUM_RECOVERY_MILLISECONDS;
+  private neededMilliseconds = MINIMUM_NEEDED_MILLISECONDS;
 
   override get state(): RotationState {
-    return this.current;
+    return this.currentState;
   }
 
   override get takesConnections(): boolean {
     return (
-      this.current === RotationState.Serving ||
-      this.current === RotationState.Needed
+      this.currentState === RotationState.Serving ||
+      this.currentState === RotationState.Needed
     );
   }
 
   override get endsConnections(): boolean {
-    return this.current === RotationState.Shedding;
+    return this.currentState === RotationState.Shedding;
   }
 
   override probed(now: number, isReady: boolean): void {
     if (isReady) {
-      this.refusedProbes = 0;
-      this.refusedAt = -Infinity;
-    } else if (now - this.refusedAt >= PROBE_MILLISECONDS) {
-      this.refusedProbes++;
-      this.refusedAt = now;
+      this.notReadyProbes = 0;
+      this.lastNotReadyAt = -Infinity;
+    } else if (
+      now - this.lastNotReadyAt >=
+      MINIMUM_PROBE_INTERVAL_MILLISECONDS
+    ) {
+      this.notReadyProbes++;
+      this.lastNotReadyAt = now;
     }
   }
 
   override observe(now: number, input: RotationInput): void {
-    if (now - this.observedAt > HELD_UP_MILLISECONDS) {
-      this.arrivals.restart(now, input.connections);
+    if (now - this.observedAt > STALL_MILLISECONDS) {
+      this.connectionWindows.restart(now, input.connections);
     }
     this.observedAt = now;
-    this.arrivals.observe(now, input.connections);
-    this.noteCalm(now, input.isOverloaded);
-    const next = this.next(now, input.isOverloaded);
-    if (next !== this.current) {
-      this.enter(next, now, input);
+    this.connectionWindows.observe(now, input.connections);
+    this.trackRecovery(now, input.isOverloaded);
+    const next = this.nextState(now, input.isOverloaded);
+    if (next !== this.currentState) {
+      this.transitionTo(next, now, input);
     }
   }
 
-  private noteCalm(now: number, isOverloaded: boolean): void {
+  private trackRecovery(now: number, isOverloaded: boolean): void {
     if (isOverloaded) {
-      this.calmSince = undefined;
+      this.recoveredSince = undefined;
     } else {
-      this.calmSince ??= now;
+      this.recoveredSince ??= now;
     }
   }
 
-  private next(now: number, isOverloaded: boolean): RotationState {
-    switch (this.current) {
+  private nextState(now: number, isOverloaded: boolean): RotationState {
+    switch (this.currentState) {
       case RotationState.Serving:
-        return isOverloaded ? RotationState.Withdrawing : this.current;
+        return isOverloaded ? RotationState.Withdrawing : this.currentState;
       case RotationState.Withdrawing:
         if (!isOverloaded) {
           return RotationState.Returning;
         }
-        return this.isOut(now) ? RotationState.Shedding : this.current;
+        return this.isOutOfRotation(now)
+          ? RotationState.Shedding
+          : this.currentState;
       case RotationState.Shedding:
         if (!isOverloaded) {
           return RotationState.Returning;
         }
-        return this.isNeeded(now) ? RotationState.Needed : this.current;
+        return this.isNeeded(now) ? RotationState.Needed : this.currentState;
       case RotationState.Returning:
         if (isOverloaded) {
           return this.isNeeded(now)
             ? RotationState.Needed
             : RotationState.Withdrawing;
         }
-        return this.isCalm(now) ? RotationState.Serving : this.current;
+        return this.hasRecovered(now)
+          ? RotationState.Serving
+          : this.currentState;
       case RotationState.Needed:
-        return now - this.since >= this.neededMilliseconds
+        return now - this.stateSince >= this.neededMilliseconds
           ? RotationState.Serving
-          : this.current;
+          : this.currentState;
     }
   }
 
-  private enter(
+  private transitionTo(
     next: RotationState,
     now: number,
     {connections}: RotationInput,
   ): void {
-    if (this.current === RotationState.Serving) {
-      this.leave(now);
-    } else if (this.current === RotationState.Needed) {
+    if (this.currentState === RotationState.Serving) {
+      this.startWithdrawal(now);
+    } else if (this.currentState === RotationState.Needed) {
       this.neededMilliseconds = Math.min(
-        LONGEST_NEEDED_MILLISECONDS,
+        MAXIMUM_NEEDED_MILLISECONDS,
         2 * this.neededMilliseconds,
       );
-    } else if (this.current === RotationState.Returning) {
-      this.neededMilliseconds = SHORTEST_NEEDED_MILLISECONDS;
+    } else if (this.currentState === RotationState.Returning) {
+      this.neededMilliseconds = MINIMUM_NEEDED_MILLISECONDS;
     }
-    this.arrivals.restart(now, connections);
-    this.current = next;
-    this.since = now;
+    this.connectionWindows.restart(now, connections);
+    this.currentState = next;
+    this.stateSince = now;
   }
 
-  /** The usual connections and the calm to ask for, of a host that withdraws. */
-  private leave(now: number): void {
+  /**
+   * Records the usual number of connections, and the time without overload that
+   * is required before the return.
+   */
+  private startWithdrawal(now: number): void {
     this.absentSince = now;
-    this.usualConnections = this.arrivals.lastSpan;
-    this.refusedProbes = 0;
-    this.refusedAt = -Infinity;
-    const isRelapse = now - this.since < RELAPSE_MILLISECONDS;
-    this.calmMilliseconds = isRelapse
-      ? Math.min(LONGEST_CALM_MILLISECONDS, 2 * this.calmMilliseconds)
-      : SHORTEST_CALM_MILLISECONDS;
+    this.usualConnections = this.connectionWindows.lastWindowConnections;
+    this.notReadyProbes = 0;
+    this.lastNotReadyAt = -Infinity;
+    const isRelapse = now - this.stateSince < RELAPSE_MILLISECONDS;
+    this.requiredRecoveryMilliseconds = isRelapse
+      ? Math.min(
+          MAXIMUM_RECOVERY_MILLISECONDS,
+          2 * this.requiredRecoveryMilliseconds,
+        )
+      : MINIMUM_RECOVERY_MILLISECONDS;
   }
 
-  /** Whether the balancer must have taken the host out. */
-  private isOut(now: number): boolean {
+  /** Whether the load balancer must have removed the host. */
+  private isOutOfRotation(now: number): boolean {
     return (
-      this.refusedProbes >= REFUSED_PROBES ||
-      now - this.since >= UNSEEN_PROBES_MILLISECONDS
+      this.notReadyProbes >= REMOVAL_PROBES ||
+      now - this.stateSince >= ASSUMED_REMOVAL_MILLISECONDS
     );
   }
 
-  /** Whether connections go on coming, so that no other host takes them. */
+  /**
+   * Whether new connections continue to arrive, so that no other host takes
+   * them.
+   */
   private isNeeded(now: number): boolean {
-    const {lastSpan, spans} = this.arrivals;
-    if (now - this.absentSince >= LONGEST_ABSENCE_MILLISECONDS) {
+    const {lastWindowConnections, completedWindows} = this.connectionWindows;
+    if (now - this.absentSince >= MAXIMUM_ABSENCE_MILLISECONDS) {
       return true;
     }
     return (
-      spans >= LATE_SPANS &&
-      lastSpan > STRAY_CONNECTIONS &&
-      lastSpan >= NEEDED_PART * this.usualConnections
+      completedWindows >= SETTLING_WINDOWS &&
+      lastWindowConnections > MAXIMUM_STRAY_CONNECTIONS &&
+      lastWindowConnections >= NEEDED_CONNECTION_SHARE * this.usualConnections
     );
   }
 
-  private isCalm(now: number): boolean {
+  private hasRecovered(now: number): boolean {
     return (
-      this.calmSince !== undefined &&
-      now - this.calmSince >= this.calmMilliseconds
+      this.recoveredSince !== undefined &&
+      now - this.recoveredSince >= this.requiredRecoveryMilliseconds
     );
   }
 }
 
-/** Counts new connections in spans of equal length. */
-class ConnectionSpans {
+/** Counts new connections in windows of equal length. */
+class ConnectionWindows {
   private startedAt = -Infinity;
-  private startedWith = 0;
-  private ended = 0;
-  private last = 0;
+  private startConnections = 0;
+  private completed = 0;
+  private lastCount = 0;
 
-  /** Connections of the last whole span. */
-  get lastSpan(): number {
-    return this.last;
+  /** Connections in the last complete window. */
+  get lastWindowConnections(): number {
+    return this.lastCount;
   }
 
-  /** Whole spans since the last restart. */
-  get spans(): number {
-    return this.ended;
+  /** Complete windows since the last restart. */
+  get completedWindows(): number {
+    return this.completed;
   }
 
   restart(now: number, connections: number): void {
     this.startedAt = now;
-    this.startedWith = connections;
-    this.ended = 0;
+    this.startConnections = connections;
+    this.completed = 0;
   }
 
   observe(now: number, connections: number): void {
-    if (now - this.startedAt >= SPAN_MILLISECONDS) {
-      this.last = connections - this.startedWith;
+    if (now - this.startedAt >= CONNECTION_WINDOW_MILLISECONDS) {
+      this.lastCount = connections - this.startConnections;
       this.startedAt = now;
-      this.startedWith = connections;
-      this.ended++;
+      this.startConnections = connections;
+      this.completed++;
     }
   }
 }
--- a/packages/decisions/src/shared-prompt-placement.ts
+++ b/packages/decisions/src/shared-prompt-placement.ts
@@ -1,50 +1,54 @@
 import murmurhash from 'murmurhash';
 
-/** One endpoint among which to choose. */
+/** An endpoint that can be chosen. */
 export interface PlacementCandidate {
   readonly id: string;
   readonly dataCenter: string;
   readonly slots: number;
-  /** Requests of this host that it works on. */
+  /** Number of this host's requests in progress there. */
   readonly load: number;
-  /** Gets nothing while any other candidate is trusted. */
+  /**
+   * False if the endpoint should receive nothing while any other candidate is
+   * available.
+   */
   readonly isTrusted: boolean;
 }
 
-/** What of a request matters for its place. */
+/** Properties of a request that determine its placement. */
 export interface PlacementRequest {
   /**
-   * Identifier of the last prompt part that other requests share; undefined where
-   * nothing is shared.
+   * Identifier of the last prompt part that other requests share; undefined if
+   * no part is shared.
    */
   readonly sharedPart: string | undefined;
   readonly dataCenter: string;
-  /** Endpoints that failed it before. */
+  /** Endpoints that already failed the request. */
   readonly avoided: ReadonlySet<string>;
 }
 
 /**
- * An endpoint above this times the mean load, and two, is passed over. Load: one
- * scenario's prompt is in a third of the requests. Harm: its home endpoint would
- * get them all, and its streams slow down while others idle.
+ * An endpoint is skipped if its load exceeds this factor times the mean load,
+ * plus an allowance of two requests. When a third of the requests share one
+ * scenario's prompt, its home endpoint would otherwise receive all of them, and
+ * its streams would slow down while other endpoints are idle.
  */
-const LOAD_BOUND = 1.5;
+const LOAD_BOUND_FACTOR = 1.5;
 const LOAD_ALLOWANCE = 2;
 
 /**
- * A plain request leaves its data centre when the local endpoint is busier by this
- * much of its slots: bytes between data centres are dear and the trip costs about
- * 2 ms of the some 40 ms of work.
+ * A plain request is sent to another data centre if the local endpoint's load
+ * is higher by this share of its slots. Traffic between data centres is
+ * expensive, and the round trip adds about 2 ms to about 40 ms of work.
  */
 const REMOTE_PENALTY = 0.5;
 
 /**
- * The endpoint for a request, or undefined where there is none.
+ * Chooses the endpoint for a request, or undefined if there are no candidates.
  *
- * Requests that share a prompt part go to the endpoint that rendezvous hashing
- * names for it (Thaler and Ravishankar, 1998), within a bound on its load (Mirrokni,
- * Thorup and Zadimoghaddam, 2018): all hosts agree without a message, and only the
- * parts of an endpoint that leaves move.
+ * Requests that share a prompt part go to the endpoint chosen by rendezvous
+ * hashing (Thaler and Ravishankar, 1998), within a bound on its load (Mirrokni,
+ * Thorup and Zadimoghaddam, 2018). All hosts agree without exchanging messages,
+ * and only the prompt parts of an endpoint that leaves are moved.
  */
 export function placeRequest(
   request: PlacementRequest,
@@ -59,12 +63,12 @@
     : homeOf(request.sharedPart, usable);
 }
 
-/** Those that fit, or all where none does. */
+/** Returns the candidates that satisfy the condition, or all if none does. */
 function preferred(
   candidates: readonly PlacementCandidate[],
-  fits: (candidate: PlacementCandidate) => boolean,
+  isPreferred: (candidate: PlacementCandidate) => boolean,
 ): readonly PlacementCandidate[] {
-  const fitting = candidates.filter(fits);
+  const fitting = candidates.filter(isPreferred);
   return fitting.length > 0 ? fitting : candidates;
 }
 
@@ -73,7 +77,8 @@
   candidates: readonly PlacementCandidate[],
 ): PlacementCandidate | undefined {
   const total = candidates.reduce((sum, {load}) => sum + load, 0);
-  const bound = (LOAD_BOUND * total) / candidates.length + LOAD_ALLOWANCE;
+  const bound =
+    (LOAD_BOUND_FACTOR * total) / candidates.length + LOAD_ALLOWANCE;
   const withinBound = candidates.filter(({load}) => load <= bound);
   return maximum(withinBound, ({id}) => murmurhash.v3(`${part} ${id}`));
 }
--- a/packages/decisions/src/standing-delay.ts
+++ b/packages/decisions/src/standing-delay.ts
@@ -1,9 +1,15 @@
-/** A queue that has not been short for so long is no burst, milliseconds. */
+/**
+ * Length of the window, in milliseconds. A queue that was not short at any time
+ * in it is not a burst.
+ */
 const WINDOW_MILLISECONDS = 800;
-/** What comes within this has not waited, milliseconds. */
-const PROMPT_MILLISECONDS = 100;
-/** From a least delay of this on, there is a standing queue until something is prompt. */
-const STANDING_MILLISECONDS = 300;
+/** Data that arrives within this time has not been queued, in milliseconds. */
+const UNDELAYED_MILLISECONDS = 100;
+/**
+ * Minimum delay in the window from which the queue is standing, in
+ * milliseconds. It stays so until data arrives without delay.
+ */
+const STANDING_DELAY_MILLISECONDS = 300;
 
 interface Sample {
   readonly at: number;
@@ -11,9 +17,10 @@
 }
 
 /**
- * Whether whatever reaches a host is late, whoever sent it: then it waits in a queue of
- * the host itself. The least of the delays in a window decides, as in CoDel: a slow peer
- * delays its own answers only, and a burst leaves some prompt ones.
+ * Detects whether all data that reaches a host is delayed, whoever sent it,
+ * which means that it waits in a queue of the host itself. The decision uses
+ * the minimum delay in a window, as in CoDel: a slow peer delays only its own
+ * answers, and a burst leaves some answers without delay.
  *
  * @example
  * ```ts
@@ -25,36 +32,42 @@
   private readonly samples: Sample[] = [];
   private wasStanding = false;
 
-  /** What a peer sends without delay came, or had not come, after so long. */
+  /**
+   * Records the delay of data that the peer sent immediately, or the time after
+   * which it had not arrived, in milliseconds.
+   */
   arrived(now: number, milliseconds: number): void {
     this.samples.push({at: now, milliseconds});
-    this.forget(now);
+    this.dropExpired(now);
   }
 
-  /** Whether anything has come without delay lately. */
+  /** Whether any data arrived without delay within the window. */
   isPrompt(now: number): boolean {
-    return this.least(now) < PROMPT_MILLISECONDS;
+    return this.minimumDelay(now) < UNDELAYED_MILLISECONDS;
   }
 
-  /** Whether there is a standing queue; as before where nothing came in the window. */
+  /**
+   * Whether there is a standing queue. Without samples in the window, the
+   * previous result is kept.
+   */
   isStanding(now: number): boolean {
-    const least = this.least(now);
+    const minimum = this.minimumDelay(now);
     if (this.samples.length === 0) {
       return this.wasStanding;
     }
     const limit = this.wasStanding
-      ? PROMPT_MILLISECONDS
-      : STANDING_MILLISECONDS;
-    this.wasStanding = least >= limit;
+      ? UNDELAYED_MILLISECONDS
+      : STANDING_DELAY_MILLISECONDS;
+    this.wasStanding = minimum >= limit;
     return this.wasStanding;
   }
 
-  private least(now: number): number {
-    this.forget(now);
+  private minimumDelay(now: number): number {
+    this.dropExpired(now);
     return Math.min(...this.samples.map(sample => sample.milliseconds));
   }
 
-  private forget(now: number): void {
+  private dropExpired(now: number): void {
     const oldest = now - WINDOW_MILLISECONDS;
     while ((this.samples[0]?.at ?? Infinity) < oldest) {
       this.samples.shift();
--- a/packages/decisions/src/stop-admission.ts
+++ b/packages/decisions/src/stop-admission.ts
@@ -1,35 +1,42 @@
-/** How long a request that begins now takes. */
-export interface ExpectedTime {
-  /** By the usual time of its kind, milliseconds. */
+/** Expected duration of a request that starts now. */
+export interface ExpectedDuration {
+  /** Typical duration of requests of its kind, in milliseconds. */
   readonly likelyMilliseconds: number;
-  /** It is ended by then in any case, milliseconds. */
+  /**
+   * Maximum duration, in milliseconds; the request is ended by then in any
+   * case.
+   */
   readonly longestMilliseconds: number;
 }
 
 /**
- * Whether a process that stops still takes a request. Load: most hosts of a data
- * centre stop at once, and callers still come to them. Harm of refusing all: they are
- * refused by host after host. Harm of taking all: what does not end before the process
- * does is cut, and may not be repeated. Callers who can't know of the stop yet are
- * served if they are likely to end in time; later ones only if that is certain.
+ * Decides whether a process that is shutting down still accepts a request. When
+ * most hosts of a data centre stop at once, callers still reach them. If all of
+ * them refused every request, callers would be refused by one host after
+ * another. If they accepted everything, requests that do not end before the
+ * process does would be aborted, and may not be retried. Callers that cannot
+ * know about the shutdown yet are served if they are likely to finish in time;
+ * later ones only if that is certain.
  */
 export class StopAdmission {
   /**
-   * @param noticeEndsAt When callers can know of the stop, on the monotonic clock.
-   * @param cutAt When what still runs is cut, on the monotonic clock.
+   * @param noticePeriodEndsAt When callers can know about the shutdown, in
+   *     milliseconds of the monotonic clock.
+   * @param abortAt When requests in progress are aborted, in milliseconds of
+   *     the monotonic clock.
    */
   constructor(
-    private readonly noticeEndsAt: number,
-    private readonly cutAt: number,
+    private readonly noticePeriodEndsAt: number,
+    private readonly abortAt: number,
   ) {}
 
-  /** Whether a request may begin now. */
-  admits(now: number, expected: ExpectedTime): boolean {
+  /** Whether a request may start now. */
+  admits(now: number, expected: ExpectedDuration): boolean {
     const {likelyMilliseconds, longestMilliseconds} = expected;
     const needed =
-      now < this.noticeEndsAt
+      now < this.noticePeriodEndsAt
         ? Math.min(likelyMilliseconds, longestMilliseconds)
         : longestMilliseconds;
-    return now + needed <= this.cutAt;
+    return now + needed <= this.abortAt;
   }
 }
--- a/packages/decisions/src/test/answer-estimate_test.ts
+++ b/packages/decisions/src/test/answer-estimate_test.ts
@@ -3,58 +3,63 @@
 import {AnswerEstimate} from '../answer-estimate.js';
 
 const BOUNDS = {shortestMilliseconds: 900, expectedFactor: 3};
-const USUAL = {ownTokens: 600};
+const SHORT_PROMPT = {ownTokens: 600};
 
-function after(firstEvents: readonly number[]): AnswerEstimate {
+function estimateAfter(firstEvents: readonly number[]): AnswerEstimate {
   const estimate = new AnswerEstimate();
   for (const milliseconds of firstEvents) {
-    estimate.came(USUAL, milliseconds);
+    estimate.came(SHORT_PROMPT, milliseconds);
   }
   return estimate;
 }
 
-const CALM = Array.from({length: 40}, () => 80);
+const FAST_ANSWERS = Array.from({length: 40}, () => 80);
 
 describe('AnswerEstimate', () => {
-  it('bears the shortest silence before it has seen any stream', () => {
-    expect(new AnswerEstimate().limit(USUAL, BOUNDS)).toBe(900);
+  it('returns the minimum timeout before the first sample', () => {
+    expect(new AnswerEstimate().limit(SHORT_PROMPT, BOUNDS)).toBe(900);
   });
 
-  it('moves a stream of a calm service after the shortest silence', () => {
-    // The caller sees its first event a second late and not never: the engine took
-    // the request and says nothing, while the others answer in 80 ms.
-    expect(after(CALM).limit(USUAL, BOUNDS)).toBe(900);
+  it('returns the minimum timeout while a service answers fast', () => {
+    // One engine accepted the request and sends nothing while the others answer
+    // in 80 ms. The request is moved, so that the caller gets its first event a
+    // second late instead of never.
+    expect(estimateAfter(FAST_ANSWERS).limit(SHORT_PROMPT, BOUNDS)).toBe(900);
   });
 
-  it('leaves streams where they are when every engine is slow', () => {
-    // The caller sees a late answer in place of none. Half of the engines are lost,
-    // and first events take 0.7 to 1.2 s everywhere. A moved stream is read anew by
-    // an engine that is as slow, and the caller leaves after two seconds.
+  it('raises the timeout when every engine is slow', () => {
+    // Guards against moving streams when every engine is slow. Half of the
+    // engines are lost, and first events take 0.7 to 1.2 s on all of them.
+    // Another engine would have to read the prompt again just as slowly, and
+    // the caller leaves after two seconds.
     const rising = [200, 400, 700, 900, 1_000];
     const slow = [...rising, ...Array.from({length: 10}, () => 1_150)];
-    expect(after([...CALM, ...slow]).limit(USUAL, BOUNDS)).toBeGreaterThan(
-      2_000,
-    );
+    expect(
+      estimateAfter([...FAST_ANSWERS, ...slow]).limit(SHORT_PROMPT, BOUNDS),
+    ).toBeGreaterThan(2_000);
   });
 
-  it('learns from streams that it gave up', () => {
-    const estimate = after(CALM);
+  it('raises the timeout after timeouts', () => {
+    const estimate = estimateAfter(FAST_ANSWERS);
     for (let stream = 0; stream < 12; stream++) {
-      estimate.missed(USUAL, 900);
+      estimate.missed(SHORT_PROMPT, 900);
     }
-    expect(estimate.limit(USUAL, BOUNDS)).toBeGreaterThan(1_500);
+    expect(estimate.limit(SHORT_PROMPT, BOUNDS)).toBeGreaterThan(1_500);
   });
 
-  it('gives a long prompt the time to be read', () => {
-    // The caller sees an answer. 40,000 tokens take an idle engine over a second;
-    // moved after 1.2 s they are read by two engines, and by none in time.
-    expect(after(CALM).limit({ownTokens: 40_000}, BOUNDS)).toBeGreaterThan(
-      3_000,
-    );
+  it('allows for the time to read a long prompt', () => {
+    // Guards against moving a long prompt before it has been read. An idle
+    // engine takes over a second for 40,000 tokens; moved after 1.2 s, the
+    // prompt would be read by two engines and answered in time by neither.
+    expect(
+      estimateAfter(FAST_ANSWERS).limit({ownTokens: 40_000}, BOUNDS),
+    ).toBeGreaterThan(3_000);
   });
 
-  it('comes back to the shortest silence when the service is calm again', () => {
+  it('returns to the minimum timeout when the service recovers', () => {
     const slow = Array.from({length: 20}, () => 1_200);
-    expect(after([...slow, ...CALM]).limit(USUAL, BOUNDS)).toBe(900);
+    expect(
+      estimateAfter([...slow, ...FAST_ANSWERS]).limit(SHORT_PROMPT, BOUNDS),
+    ).toBe(900);
   });
 });
--- a/packages/decisions/src/test/arrival-admission_test.ts
+++ b/packages/decisions/src/test/arrival-admission_test.ts
@@ -17,71 +17,74 @@
   begin: 5,
   answer: 6,
 };
-/** Requests a second that a host serves which does nothing else. */
-const CAPACITY =
+/** Capacity of a host without other work, in requests per second. */
+const CAPACITY_PER_SECOND =
   1_000 / (SMALL_HOST.read + SMALL_HOST.begin + SMALL_HOST.answer);
-const OBJECTIVE = 200;
-const LIMIT = 1_000;
-/** What the system was asked to hold for a host, and what it is asked now. */
+const OBJECTIVE_MILLISECONDS = 200;
+const LIMIT_MILLISECONDS = 1_000;
+/**
+ * Accept backlog that was configured for a host before, and the current one.
+ */
 const LONG_BACKLOG = 1_024;
 const SHORT_BACKLOG = 16;
-const LATER = {from: 5_000, until: 20_000};
+const MEASURED = {from: 5_000, until: 20_000};
 
-interface Replayed {
+interface ReplayOptions {
   readonly admission: ArrivalAdmission;
-  /** The load by the time in milliseconds, in capacities. */
-  readonly times: (at: number) => number;
+  /** The load as a multiple of the capacity, by the time in milliseconds. */
+  readonly loadFactor: (at: number) => number;
   readonly backlog?: number;
   readonly newConnectionEvery?: number;
   readonly from?: number;
 }
 
-function play({
+function runReplay({
   admission,
-  times,
+  loadFactor,
   backlog = SHORT_BACKLOG,
   newConnectionEvery = 5,
-  from = LATER.from,
-}: Replayed): ReplayResult {
+  from = MEASURED.from,
+}: ReplayOptions): ReplayResult {
   const replay = new LoopReplay(admission, {
     costs: SMALL_HOST,
-    requestsPerSecond: at => CAPACITY * times(at),
-    patienceMilliseconds: LIMIT / 3,
-    objectiveMilliseconds: OBJECTIVE,
-    limitMilliseconds: LIMIT,
+    requestsPerSecond: at => CAPACITY_PER_SECOND * loadFactor(at),
+    patienceMilliseconds: LIMIT_MILLISECONDS / 3,
+    objectiveMilliseconds: OBJECTIVE_MILLISECONDS,
+    limitMilliseconds: LIMIT_MILLISECONDS,
     endpointMilliseconds: 60,
-    tries: 2,
+    attempts: 2,
     newConnectionEvery,
     backlog,
   });
-  return replay.play(from, LATER.until);
+  return replay.run(from, MEASURED.until);
 }
 
-describe('a small host that gets more than it can work off', () => {
+describe('a small host that receives more than its capacity', () => {
   it.each([2, 3])(
-    'serves nobody as it was, at %d times its capacity on new connections',
-    times => {
-      // Callers have left when their connection is taken, and come back on others.
-      const result = play({
+    'serves almost no caller with the baseline, at %d times its capacity on new connections',
+    loadFactor => {
+      // Callers have left by the time their connection is accepted, and return
+      // on new connections.
+      const result = runReplay({
         admission: new BeginAll(),
-        times: () => times,
+        loadFactor: () => loadFactor,
         backlog: LONG_BACKLOG,
         newConnectionEvery: 1,
       });
-      expect(result.servedPerSecond).toBeLessThan(0.05 * CAPACITY);
+      expect(result.servedPerSecond).toBeLessThan(0.05 * CAPACITY_PER_SECOND);
     },
   );
 
   it.each([1.2, 2, 3])(
-    'serves as many as it can, at %d times its capacity on new connections',
-    times => {
-      // The connections that wait are read before their callers leave.
-      const result = play({
+    'serves most of its capacity at %d times it on new connections',
+    loadFactor => {
+      // Waiting connections are read before their callers leave.
+      const result = runReplay({
         admission: new BeginWithinLimit(),
-        times: () => times,
+        loadFactor: () => loadFactor,
         newConnectionEvery: 1,
       });
-      expect(result.servedPerSecond).toBeGreaterThan(0.8 * CAPACITY);
+      expect(result.servedPerSecond).toBeGreaterThan(0.8 * CAPACITY_PER_SECOND);
     },
   );
 
@@ -90,41 +93,56 @@
     [1.5, 0.9],
     [2, 0.8],
     [3, 0.6],
-  ])('serves most of its capacity at %d times it', (times, part) => {
-    // The rest of the capacity reads and refuses what would come too late.
-    const result = play({
+  ])('serves most of its capacity at %d times it', (loadFactor, part) => {
+    // The remaining capacity is used to read and refuse requests that would be
+    // answered too late.
+    const result = runReplay({
       admission: new BeginWithinLimit(),
-      times: () => times,
+      loadFactor: () => loadFactor,
     });
-    expect(result.servedPerSecond).toBeGreaterThan(part * CAPACITY);
+    expect(result.servedPerSecond).toBeGreaterThan(part * CAPACITY_PER_SECOND);
   });
 
-  it.each([0.3, 0.6, 0.8])('refuses nobody when it keeps up, at %d', times => {
-    const result = play({
-      admission: new BeginWithinLimit(),
-      times: () => times,
-    });
-    expect(result.refusals).toBe(0);
-    expect(result.servedPerSecond).toBeGreaterThan(0.98 * times * CAPACITY);
-  });
+  it.each([0.3, 0.6, 0.8])(
+    'refuses no request below its capacity, at %d times it',
+    loadFactor => {
+      const result = runReplay({
+        admission: new BeginWithinLimit(),
+        loadFactor: () => loadFactor,
+      });
+      expect(result.refusals).toBe(0);
+      expect(result.servedPerSecond).toBeGreaterThan(
+        0.98 * loadFactor * CAPACITY_PER_SECOND,
+      );
+    },
+  );
 
-  it.each([1, 5])('serves all again when the load has gone, %d', every => {
-    // Nobody is served after a burst, as those who come find an old backlog.
-    const result = play({
-      admission: new BeginWithinLimit(),
-      times: at => (at < 8_000 ? 3 : 0.6),
-      newConnectionEvery: every,
-      from: 10_000,
-    });
-    expect(result.refusals).toBe(0);
-    expect(result.servedPerSecond).toBeGreaterThan(0.98 * 0.6 * CAPACITY);
-  });
+  it.each([1, 5])(
+    'serves every request again after an overload, one new connection per %d callers',
+    every => {
+      // Guards against serving no callers after a burst because they queue behind
+      // an old backlog.
+      const result = runReplay({
+        admission: new BeginWithinLimit(),
+        loadFactor: at => (at < 8_000 ? 3 : 0.6),
+        newConnectionEvery: every,
+        from: 10_000,
+      });
+      expect(result.refusals).toBe(0);
+      expect(result.servedPerSecond).toBeGreaterThan(
+        0.98 * 0.6 * CAPACITY_PER_SECOND,
+      );
+    },
+  );
 
   it('refuses at once', () => {
-    // A caller that is held until it gives up can't try elsewhere.
-    const result = play({admission: new BeginWithinLimit(), times: () => 6});
+    // A caller whose request is held until it gives up cannot try another host.
+    const result = runReplay({
+      admission: new BeginWithinLimit(),
+      loadFactor: () => 6,
+    });
     expect(result.refusals).toBeGreaterThan(0);
-    expect(result.longestHeld).toBeLessThan(LIMIT);
+    expect(result.maximumHoldMilliseconds).toBeLessThan(LIMIT_MILLISECONDS);
   });
 });
 
@@ -140,18 +158,24 @@
   minLength: 1,
   maxLength: 40,
 });
-const BUSY = 10_000;
-const IN_WORK = 10;
+const BUSY_MILLISECONDS = 10_000;
+const UNANSWERED_REQUESTS = 10;
 const ANSWERED: ArrivedRequest = {
   cameAt: 0,
-  objectiveMilliseconds: OBJECTIVE,
-  limitMilliseconds: LIMIT,
+  objectiveMilliseconds: OBJECTIVE_MILLISECONDS,
+  limitMilliseconds: LIMIT_MILLISECONDS,
 };
 
-/** A decision that has seen answers begin at this pace while the loop was at work. */
+/**
+ * Creates a policy that has recorded answers at these intervals while the loop
+ * was busy.
+ */
 function afterAnswers(pace: readonly number[]): BeginWithinLimit {
   const admission = new BeginWithinLimit();
-  const load = {busyMilliseconds: BUSY, unanswered: IN_WORK};
+  const load = {
+    busyMilliseconds: BUSY_MILLISECONDS,
+    unanswered: UNANSWERED_REQUESTS,
+  };
   let now = 0;
   for (const interval of [0, ...pace]) {
     now += interval;
@@ -161,24 +185,24 @@
 }
 
 describe('BeginWithinLimit', () => {
-  it('begins all in a loop that has paused, whatever was before', () => {
+  it('starts every request if the loop has paused, whatever happened before', () => {
     fc.assert(
       fc.property(arrivals, intervals, (arrived, pace) => {
-        const load = {busyMilliseconds: 0, unanswered: IN_WORK};
+        const load = {busyMilliseconds: 0, unanswered: UNANSWERED_REQUESTS};
         const plan = afterAnswers(pace).plan(arrived, load, 1_000);
         expect(plan).toEqual({begun: arrived, refused: []});
       }),
     );
   });
 
-  it('begins no more the slower the host answers', () => {
+  it('starts no more requests when the host answers more slowly', () => {
     fc.assert(
       fc.property(
         arrivals,
         intervals,
         fc.integer({min: 1, max: 400}),
         (arrived, pace, more) => {
-          const load = {busyMilliseconds: BUSY, unanswered: 2};
+          const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered: 2};
           const faster = afterAnswers(pace).plan(arrived, load, 1_000);
           const slower = afterAnswers(
             pace.map(interval => interval + more),
@@ -189,14 +213,14 @@
     );
   });
 
-  it('begins or refuses each, and tells those when to come back', () => {
+  it('starts or refuses each request, with a retry delay in each refusal', () => {
     fc.assert(
       fc.property(
         arrivals,
         intervals,
         fc.integer({min: 0, max: 20}),
         (arrived, pace, unanswered) => {
-          const load = {busyMilliseconds: BUSY, unanswered};
+          const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered};
           const {begun, refused} = afterAnswers(pace).plan(
             arrived,
             load,
@@ -213,21 +237,26 @@
     );
   });
 
-  it('begins one where nothing is in work', () => {
-    // A loop that is held up by something else than requests ends all service.
+  it('starts a request if none is in progress', () => {
+    // Guards against refusing every request while the loop is kept busy by
+    // something other than requests.
     fc.assert(
       fc.property(arrivals, intervals, (arrived, pace) => {
         fc.pre(arrived.length > 0);
-        const load = {busyMilliseconds: BUSY, unanswered: 0};
+        const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered: 0};
         const {begun} = afterAnswers(pace).plan(arrived, load, 1_000);
         expect(begun.length).toBeGreaterThan(0);
       }),
     );
   });
 
-  it('counts the time that a request has waited before it was read', () => {
-    // Ten in work at 95 ms an answer take 950 ms of the 1,000 that are left for them.
-    const load = {busyMilliseconds: BUSY, unanswered: IN_WORK};
+  it('includes the time that a request waited before it was read', () => {
+    // Ten requests in progress at 95 ms per answer take 950 ms of the 1,000 ms
+    // limit.
+    const load = {
+      busyMilliseconds: BUSY_MILLISECONDS,
+      unanswered: UNANSWERED_REQUESTS,
+    };
     const admission = afterAnswers(Array.from({length: 200}, () => 95));
     const young = {...ANSWERED, cameAt: 960};
     const old = {...ANSWERED, cameAt: 940};
@@ -235,15 +264,19 @@
     expect(admission.plan([old], load, 1_000).begun).toEqual([]);
   });
 
-  it('takes late answers of a loop that pauses for its endpoints’ doing', () => {
-    // Slow endpoints make a host refuse requests that has time to spare.
+  it('ignores late answers while the loop pauses', () => {
+    // Guards against refusals by a host with spare capacity because its
+    // endpoints are slow.
     const admission = new BeginWithinLimit();
     for (let answer = 1; answer <= 50; answer++) {
-      const load = {busyMilliseconds: 5, unanswered: IN_WORK};
+      const load = {busyMilliseconds: 5, unanswered: UNANSWERED_REQUESTS};
       admission.answered(load, answer * 1_000);
     }
     const arrived = Array.from({length: 20}, () => ANSWERED);
-    const load = {busyMilliseconds: BUSY, unanswered: IN_WORK};
+    const load = {
+      busyMilliseconds: BUSY_MILLISECONDS,
+      unanswered: UNANSWERED_REQUESTS,
+    };
     expect(admission.plan(arrived, load, 0).begun).toHaveLength(20);
   });
 });
--- a/packages/decisions/src/test/data-center-trust_test.ts
+++ b/packages/decisions/src/test/data-center-trust_test.ts
@@ -23,10 +23,11 @@
 }
 
 describe('DataCenterTrust', () => {
-  it('keeps all requests here once two endpoints over there are silent', () => {
-    // The caller is answered by an engine of its own data centre. That was cut off from
-    // the others, whose engines are homes of most prompts; each of them, tried in turn,
-    // would cost a quarter of a second.
+  it('sends no requests to a data centre with two silent endpoints', () => {
+    // The data centre is cut off from the others, whose engines are the home of
+    // most prompts. Trying each of them in turn would cost a quarter of a
+    // second. The caller is answered by an engine of its own data centre
+    // instead.
     const centers = new DataCenterTrust(OWN);
     centers.fellSilent(OTHER, 'engine-1', 100);
     expect(centers.isTrusted(OTHER, 101)).toBe(true);
@@ -40,7 +41,7 @@
     }
   });
 
-  it('tries it with one request after a pause, and believes its first word', () => {
+  it('sends one trial request after a pause, and closes on the first response', () => {
     const centers = new DataCenterTrust(OWN);
     centers.fellSilent(OTHER, 'engine-1', 0);
     centers.fellSilent(OTHER, 'engine-2', 0);
@@ -51,9 +52,10 @@
     expect(centers.isTrusted(OTHER, 503)).toBe(true);
   });
 
-  it('is tried again where a trial told nothing', () => {
-    // Load: the caller whose request tries it out leaves at once. Harm without it: the
-    // data centre gets nothing for as long as this process lives.
+  it('allows another trial request after an inconclusive one', () => {
+    // Guards against a trial request that blocks further trials because its
+    // caller leaves at once. Otherwise the data centre would receive nothing
+    // for the lifetime of the process.
     const centers = new DataCenterTrust(OWN);
     centers.fellSilent(OTHER, 'engine-1', 0);
     centers.fellSilent(OTHER, 'engine-2', 0);
@@ -62,7 +64,7 @@
     expect(centers.isTrusted(OTHER, 600)).toBe(true);
   });
 
-  it('does not take a crash for a cut while another endpoint there answers', () => {
+  it('does not open for a crash while another endpoint responds', () => {
     const centers = new DataCenterTrust(OWN);
     centers.fellSilent(OTHER, 'engine-1', 0);
     centers.spoke(OTHER);
@@ -70,7 +72,7 @@
     expect(centers.isTrusted(OTHER, 11)).toBe(true);
   });
 
-  it('never gives its own data centre up', () => {
+  it('never opens for its own data centre', () => {
     const centers = new DataCenterTrust(OWN);
     centers.fellSilent(OWN, 'engine-1', 0);
     centers.fellSilent(OWN, 'engine-2', 0);
--- a/packages/decisions/src/test/endpoint-trust_test.ts
+++ b/packages/decisions/src/test/endpoint-trust_test.ts
@@ -3,7 +3,7 @@
 import {EndpointTrust, failedShareLimit} from '../endpoint-trust.js';
 
 describe('EndpointTrust', () => {
-  it('pauses after a break, tries one request, and trusts a good answer', () => {
+  it('opens after a broken connection, allows one trial, and closes after a success', () => {
     const trust = new EndpointTrust();
     trust.broke(0);
     expect(trust.isTrusted(499)).toBe(false);
@@ -15,9 +15,10 @@
     expect(trust.isOnTrial).toBe(false);
   });
 
-  it('tries an endpoint that stays away at least every four seconds', () => {
-    // Load: an endpoint is dark for minutes. Harm: pauses that double without an end
-    // keep it out long after it is back.
+  it('allows a trial at least every four seconds', () => {
+    // Guards against pauses that double without a bound, which would keep an
+    // endpoint that was unreachable for minutes out of use long after it is
+    // back.
     const trust = new EndpointTrust();
     let now = 0;
     for (let round = 0; round < 10; round++) {
@@ -27,7 +28,7 @@
     }
   });
 
-  it('counts many breaks at one moment as one', () => {
+  it('counts simultaneous failures as one', () => {
     const trust = new EndpointTrust();
     for (let request = 0; request < 20; request++) {
       trust.broke(0);
@@ -36,10 +37,11 @@
   });
 });
 
-describe('an endpoint that falls silent', () => {
-  it('gets nothing more, though no connection breaks', () => {
-    // Load: a data centre is cut off and packets are dropped. Its endpoint took a
-    // request and says nothing; others would follow it until their time is over.
+describe('EndpointTrust with a silent endpoint', () => {
+  it('opens although no connection breaks', () => {
+    // A data centre is cut off and packets are dropped. Its endpoint accepted a
+    // request and sends nothing; further requests would be sent there until
+    // their callers time out.
     const trust = new EndpointTrust();
     trust.sent();
     trust.fellSilent(150);
@@ -47,7 +49,7 @@
     expect(trust.isOnTrial).toBe(true);
   });
 
-  it('is trusted at once when it speaks after all', () => {
+  it('closes at once when the endpoint responds', () => {
     const trust = new EndpointTrust();
     trust.fellSilent(150);
     trust.spoke();
@@ -55,9 +57,9 @@
     expect(trust.isOnTrial).toBe(false);
   });
 
-  it('stays paused after a break, whatever else it answers', () => {
-    // Load: an endpoint breaks off four in ten of its answers. The other six must not
-    // bring it back at once.
+  it('stays open after a broken connection, whatever else the endpoint answers', () => {
+    // Guards against an endpoint that breaks four in ten of its answers and is
+    // used again at once because of the other six.
     const trust = new EndpointTrust();
     trust.broke(0);
     trust.spoke();
@@ -66,7 +68,7 @@
 });
 
 describe('failedShareLimit', () => {
-  it('judges an endpoint by the others of its service', () => {
+  it('compares an endpoint with the others of its service', () => {
     expect(0.6).toBeGreaterThan(failedShareLimit([0.14, 0.16, 0.15, 0.6]));
     expect(0.16).toBeLessThanOrEqual(
       failedShareLimit([0.14, 0.16, 0.15, 0.13]),
--- a/packages/decisions/src/test/link-delay_test.ts
+++ b/packages/decisions/src/test/link-delay_test.ts
@@ -4,19 +4,21 @@
 import {LinkDelay} from '../link-delay.js';
 
 const STEP_MILLISECONDS = 10;
-/** A call is made so often. */
-const CALL_MILLISECONDS = 50;
-const LONGEST_MILLISECONDS = 2_000;
-/** The link is found to be full so long after it has become full. */
+/** Interval between calls. */
+const CALL_INTERVAL_MILLISECONDS = 50;
+const MAXIMUM_DELAY_MILLISECONDS = 2_000;
+/** Time after which a full link is detected. */
 const DETECTION_MILLISECONDS = 800;
 
 interface OpenCall {
-  readonly comesAt: number;
+  readonly arrivesAt: number;
   readonly expiresAt: number;
   readonly startedAt: number;
 }
 
-/** Calls over a link where what comes in waits for a time that a test gives. */
+/**
+ * Simulates calls over a link on which incoming data waits for a given time.
+ */
 class LinkReplay {
   readonly delay = new LinkDelay();
   private now = 0;
@@ -26,8 +28,11 @@
 
   constructor(private readonly idleLimit: number) {}
 
-  /** Plays so long, with a wait that depends on the time since the beginning. */
-  play(milliseconds: number, waitAt: (elapsed: number) => number): this {
+  /**
+   * Runs for the given time, with a wait that depends on the time since the
+   * start of the run.
+   */
+  run(milliseconds: number, waitAt: (elapsed: number) => number): this {
     this.expired = 0;
     for (
       let elapsed = 0;
@@ -35,16 +40,16 @@
       elapsed += STEP_MILLISECONDS
     ) {
       this.now += STEP_MILLISECONDS;
-      this.noteWait(waitAt(elapsed));
-      if (elapsed % CALL_MILLISECONDS === 0) {
+      this.trackCongestion(waitAt(elapsed));
+      if (elapsed % CALL_INTERVAL_MILLISECONDS === 0) {
         this.call(waitAt(elapsed));
       }
-      this.endCalls();
+      this.completeCalls();
     }
     return this;
   }
 
-  /** Calls that expired in the last play. */
+  /** Calls that timed out during the last run. */
   get expiredCalls(): number {
     return this.expired;
   }
@@ -57,7 +62,7 @@
     return this.now >= this.congestedFrom + DETECTION_MILLISECONDS;
   }
 
-  private noteWait(wait: number): void {
+  private trackCongestion(wait: number): void {
     if (wait === 0) {
       this.congestedFrom = Infinity;
     } else {
@@ -67,16 +72,16 @@
 
   private call(wait: number): void {
     const startedAt = this.now;
-    const comesAt = startedAt + wait + 1;
+    const arrivesAt = startedAt + wait + 1;
     const expiresAt = startedAt + this.idleLimit + this.milliseconds;
-    this.calls.push({startedAt, comesAt, expiresAt});
+    this.calls.push({startedAt, arrivesAt, expiresAt});
   }
 
-  private endCalls(): void {
+  private completeCalls(): void {
     this.calls = this.calls.filter(call => {
-      const {startedAt, comesAt, expiresAt} = call;
-      if (comesAt <= Math.min(this.now, expiresAt)) {
-        this.delay.arrived(comesAt - startedAt);
+      const {startedAt, arrivesAt, expiresAt} = call;
+      if (arrivesAt <= Math.min(this.now, expiresAt)) {
+        this.delay.arrived(arrivesAt - startedAt);
         return false;
       }
       if (expiresAt <= this.now) {
@@ -89,30 +94,34 @@
   }
 }
 
-/** The wait rises for a second, then falls at once, as callers come in bursts. */
+/**
+ * The wait rises for a second and then drops, like that of callers arriving in
+ * bursts.
+ */
 function sawtooth(lowest: number, highest: number): (at: number) => number {
   return at => lowest + ((highest - lowest) * (at % 1_000)) / 1_000;
 }
 
 const idleLimits = fc.constantFrom(120, 500, 1_200);
 
-describe('calls of a host over its full link', () => {
-  it('come in time again after a few that expired', () => {
-    // Guards against a host that takes its own full link for silent peers for good.
+describe('calls over a full link', () => {
+  it('succeed again after a few timeouts', () => {
+    // Guards against a host that permanently attributes its own full link to
+    // silent peers.
     fc.assert(
       fc.property(
         idleLimits,
         fc.integer({min: 1, max: 1_900}),
         (idleLimit, wait) => {
-          const replay = new LinkReplay(idleLimit).play(1_000, () => 0);
-          replay.play(6_000, () => wait);
-          expect(replay.play(10_000, () => wait).expiredCalls).toBe(0);
+          const replay = new LinkReplay(idleLimit).run(1_000, () => 0);
+          replay.run(6_000, () => wait);
+          expect(replay.run(10_000, () => wait).expiredCalls).toBe(0);
         },
       ),
     );
   });
 
-  it('come in time for the most part while the wait changes', () => {
+  it('mostly succeed while the wait changes', () => {
     fc.assert(
       fc.property(
         idleLimits,
@@ -120,27 +129,27 @@
         fc.integer({min: 500, max: 1_500}),
         (idleLimit, lowest, highest) => {
           const wait = sawtooth(lowest, highest);
-          const replay = new LinkReplay(idleLimit).play(6_000, wait);
-          const calls = 10_000 / CALL_MILLISECONDS;
-          const {expiredCalls} = replay.play(10_000, wait);
+          const replay = new LinkReplay(idleLimit).run(6_000, wait);
+          const calls = 10_000 / CALL_INTERVAL_MILLISECONDS;
+          const {expiredCalls} = replay.run(10_000, wait);
           expect(expiredCalls).toBeLessThan(0.05 * calls);
         },
       ),
     );
   });
 
-  it('have their idle limit as soon as the link is free', () => {
-    const replay = new LinkReplay(120).play(8_000, () => 900);
+  it('have no additional delay as soon as the link is idle', () => {
+    const replay = new LinkReplay(120).run(8_000, () => 900);
     expect(replay.milliseconds).toBeGreaterThanOrEqual(700);
-    expect(replay.play(STEP_MILLISECONDS, () => 0).milliseconds).toBe(0);
+    expect(replay.run(STEP_MILLISECONDS, () => 0).milliseconds).toBe(0);
   });
 
-  it('have limits near the wait once it is known', () => {
-    // Guards against calls that wait far too long for peers that are silent.
-    const replay = new LinkReplay(120).play(15_000, () => 600);
+  it('have limits near the measured wait', () => {
+    // Guards against calls that wait far too long for silent peers.
+    const replay = new LinkReplay(120).run(15_000, () => 600);
     expect(replay.milliseconds).toBeLessThan(700);
-    replay.play(2_000, () => 0);
-    expect(replay.play(10_000, () => 200).milliseconds).toBeLessThan(300);
+    replay.run(2_000, () => 0);
+    expect(replay.run(10_000, () => 200).milliseconds).toBeLessThan(300);
   });
 });
 
@@ -152,7 +161,7 @@
     }),
   );
 
-  it('is zero on a free link, and never above its ceiling', () => {
+  it('is zero on an idle link, and never exceeds the maximum', () => {
     fc.assert(
       fc.property(ends, list => {
         const delay = new LinkDelay();
@@ -165,15 +174,15 @@
           expect(delay.milliseconds(false)).toBe(0);
           expect(delay.milliseconds(true)).toBeGreaterThanOrEqual(0);
           expect(delay.milliseconds(true)).toBeLessThanOrEqual(
-            LONGEST_MILLISECONDS,
+            MAXIMUM_DELAY_MILLISECONDS,
           );
         }
       }),
     );
   });
 
-  it('takes calls that expire together for one', () => {
-    // Guards against the longest wait after one burst of calls.
+  it('counts simultaneous timeouts as one', () => {
+    // Guards against the maximum wait after a single burst of calls.
     const one = new LinkDelay();
     const many = new LinkDelay();
     one.expired(120);
@@ -184,8 +193,8 @@
     expect(one.milliseconds(true)).toBe(240);
   });
 
-  it('forgets expired calls with what comes next', () => {
-    // Guards against long waits for one silent peer while others answer.
+  it('reduces the delay after a timeout when data arrives again', () => {
+    // Guards against long waits because of one silent peer while others answer.
     const delay = new LinkDelay();
     for (let call = 0; call < 40; call++) {
       delay.arrived(20);
--- a/packages/decisions/src/test/loop-replay.ts
+++ b/packages/decisions/src/test/loop-replay.ts
@@ -1,52 +1,61 @@
 import type {ArrivalAdmission, ArrivedRequest, LoopLoad} from '../index.js';
 
-/** What one step of a request takes of the processor, milliseconds. */
+/** Processor time of the steps of a request, in milliseconds. */
 export interface StepCosts {
-  /** A turn of the loop, whatever is done in it. */
+  /** Fixed cost of a turn of the event loop. */
   readonly turn: number;
-  /** Taking a new connection. */
+  /** Accepting a new connection. */
   readonly connect: number;
   /** Reading a request. */
   readonly read: number;
   readonly refuse: number;
-  /** From its beginning until it is sent to an endpoint. */
+  /** From starting a request until it is sent to an endpoint. */
   readonly begin: number;
-  /** Passing its answer on. */
+  /** Relaying its answer. */
   readonly answer: number;
 }
 
-/** Callers and endpoints around a host. */
+/** Behaviour of the callers and endpoints of a host. */
 export interface LoadPattern {
   readonly costs: StepCosts;
-  /** New callers, by the time in milliseconds. */
+  /** Rate of new callers, by the time in milliseconds. */
   readonly requestsPerSecond: (at: number) => number;
-  /** A caller whose request is not read by then leaves, and tries again. */
+  /**
+   * Time after which a caller whose request has not been read leaves and
+   * retries.
+   */
   readonly patienceMilliseconds: number;
   readonly objectiveMilliseconds: number;
-  /** A caller whose answer has not begun by then from its first try gives up. */
+  /**
+   * Time from the first attempt after which a caller without an answer gives
+   * up.
+   */
   readonly limitMilliseconds: number;
   readonly endpointMilliseconds: number;
-  /** Tries of a caller; all after the first come on new connections. */
-  readonly tries: number;
-  /** One caller in so many comes on a new connection. */
+  /** Attempts per caller; all but the first use new connections. */
+  readonly attempts: number;
+  /** One in this many callers uses a new connection. */
   readonly newConnectionEvery: number;
-  /** New connections that wait to be taken; the others go unnoticed. */
+  /**
+   * New connections that can wait to be accepted; further ones are dropped
+   * unnoticed.
+   */
   readonly backlog: number;
 }
 
-/** What became of callers whose first try was in a span of time. */
+/** Results for callers whose first attempt was in a given period. */
 export interface ReplayResult {
-  /** Callers whose answers began before they gave up, a second. */
+  /** Callers per second whose answers started before they gave up. */
   readonly servedPerSecond: number;
   readonly refusals: number;
-  /** From a request's being read to its refusal, milliseconds. */
-  readonly longestHeld: number;
+  /** Longest time from reading a request to its refusal, in milliseconds. */
+  readonly maximumHoldMilliseconds: number;
 }
 
 interface Attempt extends ArrivedRequest {
   readonly sentAt: number;
   readonly firstAt: number;
-  readonly triesLeft: number;
+  readonly attemptsLeft: number;
 }
 
 interface Answer {
@@ -54,25 +63,25 @@
   readonly readyAt: number;
 }
 
-const LAST_ANSWERS_MILLISECONDS = 3_000;
+const DRAIN_MILLISECONDS = 3_000;
 
 /**
- * One event loop on a clock of its own: a connection is taken in each turn, and what
- * became ready while a turn ran is worked on in the next. The host sees when it read a
- * request, not when the caller sent it.
+ * Simulates one event loop with its own clock. Each turn accepts one
+ * connection, and events that become ready during a turn are handled in the
+ * next. The host observes when it read a request, not when the caller sent it.
  */
 export class LoopReplay {
   private now = 0;
   private busyFrom = 0;
-  private unhiddenAt = 0;
+  private lastEmptyAcceptQueueAt = 0;
   private nextCaller = 0;
   private callers = 0;
   private connecting: Attempt[] = [];
-  private kept: Attempt[] = [];
-  private later: Attempt[] = [];
+  private onKeptConnections: Attempt[] = [];
+  private scheduled: Attempt[] = [];
   private waiting: Attempt[] = [];
   private answers: Answer[] = [];
-  private readonly held: {readonly firstAt: number; readonly took: number}[] =
+  private readonly holds: {readonly firstAt: number; readonly took: number}[] =
     [];
   private readonly answered: {readonly firstAt: number}[] = [];
 
@@ -81,91 +90,102 @@
     private readonly pattern: LoadPattern,
   ) {}
 
-  /** Tells of callers that came in a span; plays on until they have their answers. */
-  play(from: number, until: number): ReplayResult {
-    while (this.now < until + LAST_ANSWERS_MILLISECONDS) {
-      this.turn();
+  /**
+   * Returns the results for callers that arrived in the period, and continues
+   * until they have their answers.
+   */
+  run(from: number, until: number): ReplayResult {
+    while (this.now < until + DRAIN_MILLISECONDS) {
+      this.runTurn();
     }
     const isCounted = ({firstAt}: {readonly firstAt: number}) =>
       firstAt >= from && firstAt < until;
     const seconds = (until - from) / 1_000;
     const answered = this.answered.filter(isCounted);
-    const held = this.held.filter(isCounted);
+    const holds = this.holds.filter(isCounted);
     return {
       servedPerSecond: answered.length / seconds,
-      refusals: held.length,
-      longestHeld: Math.max(0, ...held.map(({took}) => took)),
+      refusals: holds.length,
+      maximumHoldMilliseconds: Math.max(0, ...holds.map(({took}) => took)),
     };
   }
 
-  private turn(): void {
+  private runTurn(): void {
     const startedAt = this.now;
-    this.bringCallers();
+    this.addDueCallers();
     const ready = this.answers.filter(({readyAt}) => readyAt <= startedAt);
     const connected = this.connecting.shift();
-    const kept = this.kept.splice(0);
+    const kept = this.onKeptConnections.splice(0);
     if (connected === undefined) {
-      this.unhiddenAt = startedAt;
+      this.lastEmptyAcceptQueueAt = startedAt;
       if (kept.length + ready.length + this.waiting.length === 0) {
         this.pause();
         return;
       }
     }
     this.now += this.pattern.costs.turn;
-    this.passOn(ready);
+    this.deliverAnswers(ready);
     for (const attempt of kept) {
       this.read(attempt, attempt.sentAt);
     }
     if (connected !== undefined) {
       this.now += this.pattern.costs.connect;
-      // It came some time since a turn without a connection.
-      const hidden = Math.min(
-        startedAt - this.unhiddenAt,
+      // It arrived at some time since the last turn without a connection.
+      const unobservedMilliseconds = Math.min(
+        startedAt - this.lastEmptyAcceptQueueAt,
         connected.objectiveMilliseconds,
       );
-      this.read(connected, this.now - hidden / 2);
+      this.read(connected, this.now - unobservedMilliseconds / 2);
     }
     this.decide();
   }
 
-  /** The loop waits for whatever comes next. */
+  /** Waits for the next event. */
   private pause(): void {
     const next = Math.min(
       this.nextCaller,
-      ...this.later.map(({sentAt}) => sentAt),
+      ...this.scheduled.map(({sentAt}) => sentAt),
       ...this.answers.map(({readyAt}) => readyAt),
     );
     this.now = Math.max(this.now, next);
     this.busyFrom = this.now;
-    this.unhiddenAt = this.now;
+    this.lastEmptyAcceptQueueAt = this.now;
   }
 
-  private bringCallers(): void {
-    const {requestsPerSecond, tries, newConnectionEvery} = this.pattern;
+  private addDueCallers(): void {
+    const {requestsPerSecond, attempts, newConnectionEvery} = this.pattern;
     while (this.nextCaller <= this.now) {
-      const attempt = this.attempt(this.nextCaller, this.nextCaller, tries - 1);
+      const attempt = this.attempt(
+        this.nextCaller,
+        this.nextCaller,
+        attempts - 1,
+      );
       if (this.callers++ % newConnectionEvery === 0) {
-        this.later.push(attempt);
+        this.scheduled.push(attempt);
       } else {
-        this.kept.push(attempt);
+        this.onKeptConnections.push(attempt);
       }
       this.nextCaller += 1_000 / requestsPerSecond(this.nextCaller);
     }
-    const due = this.later
+    const due = this.scheduled
       .filter(({sentAt}) => sentAt <= this.now)
       .sort((left, right) => left.sentAt - right.sentAt);
-    this.later = this.later.filter(({sentAt}) => sentAt > this.now);
+    this.scheduled = this.scheduled.filter(({sentAt}) => sentAt > this.now);
     for (const attempt of due) {
       this.connect(attempt);
     }
   }
 
-  private attempt(sentAt: number, firstAt: number, triesLeft: number): Attempt {
+  private attempt(
+    sentAt: number,
+    firstAt: number,
+    attemptsLeft: number,
+  ): Attempt {
     const {objectiveMilliseconds, limitMilliseconds} = this.pattern;
     return {
       sentAt,
       firstAt,
-      triesLeft,
+      attemptsLeft,
       cameAt: sentAt,
       objectiveMilliseconds,
       limitMilliseconds: limitMilliseconds - (sentAt - firstAt),
@@ -176,26 +196,23 @@
     if (this.connecting.length < this.pattern.backlog) {
       this.connecting.push(attempt);
     } else {
-      this.tryAgain(
-        attempt,
-        attempt.sentAt + this.pattern.patienceMilliseconds,
-      );
+      this.retry(attempt, attempt.sentAt + this.pattern.patienceMilliseconds);
     }
   }
 
-  private tryAgain({firstAt, triesLeft}: Attempt, at: number): void {
-    if (triesLeft > 0 && at < firstAt + this.pattern.limitMilliseconds) {
-      this.later.push(this.attempt(at, firstAt, triesLeft - 1));
+  private retry({firstAt, attemptsLeft}: Attempt, at: number): void {
+    if (attemptsLeft > 0 && at < firstAt + this.pattern.limitMilliseconds) {
+      this.scheduled.push(this.attempt(at, firstAt, attemptsLeft - 1));
     }
   }
 
-  private read(taken: Attempt, knownFrom: number): void {
+  private read(taken: Attempt, estimatedSentAt: number): void {
     this.now += this.pattern.costs.read;
     const leftAt = taken.sentAt + this.pattern.patienceMilliseconds;
     if (leftAt < this.now) {
-      this.tryAgain(taken, leftAt);
+      this.retry(taken, leftAt);
     } else {
-      this.waiting.push({...taken, cameAt: knownFrom});
+      this.waiting.push({...taken, cameAt: estimatedSentAt});
     }
   }
 
@@ -215,8 +232,8 @@
     for (const {request, retryAfterMilliseconds} of refused) {
       this.now += costs.refuse;
       const {firstAt, cameAt} = request;
-      this.held.push({firstAt, took: this.now - cameAt});
-      this.tryAgain(request, this.now + retryAfterMilliseconds);
+      this.holds.push({firstAt, took: this.now - cameAt});
+      this.retry(request, this.now + retryAfterMilliseconds);
     }
   }
 
@@ -227,7 +244,7 @@
     };
   }
 
-  private passOn(ready: readonly Answer[]): void {
+  private deliverAnswers(ready: readonly Answer[]): void {
     this.answers = this.answers.filter(answer => !ready.includes(answer));
     for (const {attempt} of ready) {
       const {firstAt} = attempt;
--- a/packages/decisions/src/test/resend-budget_test.ts
+++ b/packages/decisions/src/test/resend-budget_test.ts
@@ -4,8 +4,8 @@
 
 const LIMITS = {ratio: 0.2, extra: 58, windowMilliseconds: 10_000};
 
-/** Resends granted when every request wants one. */
-function granted(hosts: number, requestsEach: number): number {
+/** Number of resends granted if every request asks for one. */
+function grantedResends(hosts: number, requestsEach: number): number {
   let total = 0;
   for (let host = 0; host < hosts; host++) {
     const budget = new ResendBudget(LIMITS);
@@ -23,14 +23,15 @@
     [9, 100],
     [75, 10],
     [75, 1],
-  ])('keeps %i hosts together within the bound', (hosts, requestsEach) => {
-    // Load: an endpoint fails and each request could go to a second one. Harm: the
-    // endpoints that are left get twice the load and fail as well.
+  ])('keeps %i hosts within the fleet-wide limit', (hosts, requestsEach) => {
+    // An endpoint fails and each request could be sent to a second one. Guards
+    // against doubling the load on the remaining endpoints, which would then
+    // fail as well.
     const bound = LIMITS.ratio * hosts * requestsEach + LIMITS.extra;
-    expect(granted(hosts, requestsEach)).toBeLessThanOrEqual(bound);
+    expect(grantedResends(hosts, requestsEach)).toBeLessThanOrEqual(bound);
   });
 
-  it('forgets what is older than the window', () => {
+  it('ignores resends older than the window', () => {
     const budget = new ResendBudget({...LIMITS, ratio: 0, extra: 2});
     expect(budget.take(1, 0)).toBe(true);
     expect(budget.take(1, 5_000)).toBe(false);
--- a/packages/decisions/src/test/rotation-replay.ts
+++ b/packages/decisions/src/test/rotation-replay.ts
@@ -2,26 +2,37 @@
 
 const STEP_MILLISECONDS = 50;
 const PROBE_MILLISECONDS = 1_000;
-const MISSED_PROBES = 2;
-/** What a host carries, requests a second. */
+const REMOVAL_PROBES = 2;
+/** Capacity of a host in requests per second. */
 const CAPACITY = 100;
-/** Requests that wait at a host's link at the most; further connections are dropped. */
-const LONGEST_QUEUE = 100;
-/** A request that waited for longer is refused: the host's own calls wait as long. */
-const LONGEST_WAIT_MILLISECONDS = 600;
-/** A host is overloaded by more waiting requests than this, and no more below half. */
+/**
+ * Maximum number of requests waiting at a host's link; further connections are
+ * dropped.
+ */
+const MAXIMUM_QUEUE = 100;
+/**
+ * A request that waited longer is refused, because the host's own calls wait
+ * just as long.
+ */
+const MAXIMUM_WAIT_MILLISECONDS = 600;
+/**
+ * A host becomes overloaded above this number of waiting requests, and recovers
+ * below half of it.
+ */
 const FULL_QUEUE = 20;
 
-/** An organisation whose callers the balancer may send to one host. */
+/**
+ * An organisation whose callers the load balancer may send to a single host.
+ */
 export interface ReplayedOrganisation {
   readonly name: string;
-  /** Requests a second, however slow the answers are. */
+  /** Requests per second, independent of the response times. */
   readonly rate: number;
-  /** All callers have one hash, so that one host gets them. */
+  /** Whether all callers have the same hash, so that one host receives them. */
   readonly isOneHash: boolean;
 }
 
-/** An organisation's callers and their idle connections, by host. */
+/** An organisation's callers, with their idle connections by host. */
 interface Callers extends ReplayedOrganisation {
   readonly idle: number[];
   due: number;
@@ -38,26 +49,27 @@
   readonly queue: Waiting[] = [];
   isOverloaded = false;
   connections = 0;
-  misses = 0;
-  private credit = 0;
+  notReadyProbes = 0;
+  private capacityCredit = 0;
 
   constructor(readonly policy: RotationPolicy) {}
 
   get isInRotation(): boolean {
-    return this.misses < MISSED_PROBES;
+    return this.notReadyProbes < REMOVAL_PROBES;
   }
 
-  /** What its link has carried in a step. */
-  carry(): readonly Waiting[] {
-    this.credit += (CAPACITY * STEP_MILLISECONDS) / 1_000;
-    const count = Math.min(this.queue.length, Math.floor(this.credit));
-    this.credit = this.queue.length > count ? this.credit - count : 0;
+  /** Removes and returns the requests that the link has carried in a step. */
+  takeServed(): readonly Waiting[] {
+    this.capacityCredit += (CAPACITY * STEP_MILLISECONDS) / 1_000;
+    const count = Math.min(this.queue.length, Math.floor(this.capacityCredit));
+    this.capacityCredit =
+      this.queue.length > count ? this.capacityCredit - count : 0;
     return this.queue.splice(0, count);
   }
 
   probe(now: number): void {
     const {takesConnections} = this.policy;
-    this.misses = takesConnections ? 0 : this.misses + 1;
+    this.notReadyProbes = takesConnections ? 0 : this.notReadyProbes + 1;
     this.policy.probed(now, takesConnections);
   }
 
@@ -73,7 +85,7 @@
   }
 }
 
-/** What became of an organisation's requests. */
+/** Counts the sent and served requests of an organisation. */
 export class ServedShare {
   sent = 0;
   served = 0;
@@ -83,7 +95,10 @@
   }
 }
 
-/** Hosts behind a balancer that keeps callers of one hash on one host. */
+/**
+ * Simulates hosts behind a load balancer that sends callers with the same hash
+ * to the same host.
+ */
 export class RotationReplay {
   private readonly hosts: readonly Host[];
   private readonly callers = new Map<string, Callers>();
@@ -106,8 +121,8 @@
     return this;
   }
 
-  /** Plays so long; shares are counted anew. */
-  play(seconds: number): this {
+  /** Runs for the given time and resets the counts first. */
+  run(seconds: number): this {
     this.shares = new Map();
     const until = this.now + seconds * 1_000;
     while (this.now < until) {
@@ -117,8 +132,8 @@
     return this;
   }
 
-  /** Shares of the last play. */
-  of(organisation: string): ServedShare {
+  /** Returns the counts of the last run. */
+  shareOf(organisation: string): ServedShare {
     let share = this.shares.get(organisation);
     if (share === undefined) {
       share = new ServedShare();
@@ -127,26 +142,25 @@
     return share;
   }
 
-  /** Hosts that take new connections. */
-  get taking(): number {
+  /** Number of hosts that accept new connections. */
+  get acceptingHosts(): number {
     return this.hosts.filter(({policy}) => policy.takesConnections).length;
   }
 
-  /** States of all hosts. */
   get states(): readonly RotationState[] {
     return this.hosts.map(({policy}) => policy.state);
   }
 
   private step(): void {
     this.hosts.forEach((host, index) => {
-      for (const waiting of host.carry()) {
+      for (const waiting of host.takeServed()) {
         this.answer(host, index, waiting);
       }
     });
     for (const callers of this.callers.values()) {
       callers.due += (callers.rate * STEP_MILLISECONDS) / 1_000;
       for (; callers.due >= 1; callers.due--) {
-        this.of(callers.name).sent++;
+        this.shareOf(callers.name).sent++;
         this.send(callers, callers.idle.pop(), false);
       }
     }
@@ -163,8 +177,8 @@
     if (!host.policy.endsConnections) {
       callers.idle.push(index);
     }
-    if (this.now - sentAt <= LONGEST_WAIT_MILLISECONDS) {
-      this.of(callers.name).served++;
+    if (this.now - sentAt <= MAXIMUM_WAIT_MILLISECONDS) {
+      this.shareOf(callers.name).served++;
     } else {
       this.retry(callers, isRetry);
     }
@@ -175,8 +189,9 @@
     connection: number | undefined,
     isRetry: boolean,
   ): void {
-    const host = this.hosts[connection ?? this.open(callers, isRetry)];
-    if (host === undefined || host.queue.length >= LONGEST_QUEUE) {
+    const host =
+      this.hosts[connection ?? this.openConnection(callers, isRetry)];
+    if (host === undefined || host.queue.length >= MAXIMUM_QUEUE) {
       this.retry(callers, isRetry);
       return;
     }
@@ -189,13 +204,13 @@
     }
   }
 
-  /** A retry reaches another host than a first try. */
-  private open(callers: Callers, isRetry: boolean): number {
+  /** A retry reaches a different host than the first attempt. */
+  private openConnection(callers: Callers, isRetry: boolean): number {
     callers.hash += callers.isOneHash ? 0 : 1;
-    return this.choose(callers.hash + (isRetry ? 1 : 0));
+    return this.chooseHost(callers.hash + (isRetry ? 1 : 0));
   }
 
-  private choose(hash: number): number {
+  private chooseHost(hash: number): number {
     const all = this.hosts.map((_, index) => index);
     const ready = all.filter(index => this.hosts[index]?.isInRotation === true);
     const used = ready.length * 2 < all.length ? all : ready;
--- a/packages/decisions/src/test/shared-prompt-placement_test.ts
+++ b/packages/decisions/src/test/shared-prompt-placement_test.ts
@@ -19,13 +19,13 @@
   };
 }
 
-const NOTHING_AVOIDED: ReadonlySet<string> = new Set();
+const NO_AVOIDED_ENDPOINTS: ReadonlySet<string> = new Set();
 
 function homeOf(part: string, candidates: readonly PlacementCandidate[]) {
   const request = {
     sharedPart: part,
     dataCenter: 'a',
-    avoided: NOTHING_AVOIDED,
+    avoided: NO_AVOIDED_ENDPOINTS,
   };
   return placeRequest(request, candidates)?.id;
 }
@@ -54,9 +54,10 @@
     }
   });
 
-  it('passes over a home that has far more than its share', () => {
-    // Load: half of all requests share one prompt. Harm: its home gets them all and
-    // each waits behind the others, while seven endpoints idle.
+  it('skips a home endpoint above the load bound', () => {
+    // Half of all requests share one prompt. Guards against sending them all to
+    // its home endpoint, where each waits for the others while seven endpoints
+    // are idle.
     const home = homeOf('hot', engines);
     const busy = engines.map(engine =>
       engine.id === home ? {...engine, load: 20} : engine,
@@ -72,7 +73,7 @@
     const request = {
       sharedPart: undefined,
       dataCenter: 'a',
-      avoided: NOTHING_AVOIDED,
+      avoided: NO_AVOIDED_ENDPOINTS,
     };
     expect(placeRequest(request, candidates)?.id).toBe('near');
   });
@@ -85,12 +86,12 @@
     const request = {
       sharedPart: undefined,
       dataCenter: 'a',
-      avoided: NOTHING_AVOIDED,
+      avoided: NO_AVOIDED_ENDPOINTS,
     };
     expect(placeRequest(request, candidates)?.id).toBe('far');
   });
 
-  it('uses an endpoint without trust, or one that failed, only as the last', () => {
+  it('uses an untrusted or failed endpoint only as a last resort', () => {
     const request = {
       sharedPart: undefined,
       dataCenter: 'a',
--- a/packages/decisions/src/test/standing-delay_test.ts
+++ b/packages/decisions/src/test/standing-delay_test.ts
@@ -3,21 +3,21 @@
 
 import {StandingDelay} from '../standing-delay.js';
 
-const PAUSE_MILLISECONDS = 50;
+const SAMPLE_INTERVAL_MILLISECONDS = 50;
 
 let delay: StandingDelay;
 let now: number;
 
-/** Plays delays in turn, one every 50 ms. */
-function play(...rows: readonly number[]): boolean {
+/** Records the delays in order, one every 50 ms. */
+function recordDelays(...rows: readonly number[]): boolean {
   for (const milliseconds of rows) {
-    now += PAUSE_MILLISECONDS;
+    now += SAMPLE_INTERVAL_MILLISECONDS;
     delay.arrived(now, milliseconds);
   }
   return delay.isStanding(now);
 }
 
-function row(count: number, milliseconds: number): readonly number[] {
+function repeat(count: number, milliseconds: number): readonly number[] {
   return Array.from({length: count}, () => milliseconds);
 }
 
@@ -27,47 +27,50 @@
 });
 
 describe('StandingDelay', () => {
-  it('tells a standing queue within a second', () => {
-    expect(play(...row(20, 3), ...row(20, 700))).toBe(true);
+  it('detects a standing queue within a second', () => {
+    expect(recordDelays(...repeat(20, 3), ...repeat(20, 700))).toBe(true);
   });
 
-  it('takes a burst for no standing queue', () => {
-    expect(play(...row(20, 3), ...row(8, 700), 3)).toBe(false);
+  it('does not report a burst', () => {
+    expect(recordDelays(...repeat(20, 3), ...repeat(8, 700), 3)).toBe(false);
   });
 
-  it('takes one slow peer for no standing queue', () => {
-    // Guards against a host that leaves the rotation for a store or endpoint that is slow.
+  it('does not report one slow peer', () => {
+    // Guards against a host that leaves the rotation because of one slow store
+    // or endpoint.
     fc.assert(
       fc.property(
         fc.array(fc.integer({min: 0, max: 2_000}), {maxLength: 100}),
         slow => {
           delay = new StandingDelay();
-          expect(play(3, ...slow.flatMap(late => [late, 4]))).toBe(false);
+          expect(recordDelays(3, ...slow.flatMap(late => [late, 4]))).toBe(
+            false,
+          );
         },
       ),
     );
   });
 
-  it('ends when something comes without delay, and not before', () => {
-    play(...row(20, 700));
-    expect(play(...row(20, 200))).toBe(true);
-    expect(play(20)).toBe(false);
-    expect(play(...row(20, 200))).toBe(false);
+  it('ends only when data arrives without delay', () => {
+    recordDelays(...repeat(20, 700));
+    expect(recordDelays(...repeat(20, 200))).toBe(true);
+    expect(recordDelays(20)).toBe(false);
+    expect(recordDelays(...repeat(20, 200))).toBe(false);
   });
 
-  it('stays as it is while nothing comes', () => {
-    play(...row(20, 700));
+  it('keeps its state while no data arrives', () => {
+    recordDelays(...repeat(20, 700));
     now += 10_000;
     expect(delay.isStanding(now)).toBe(true);
-    expect(play(3)).toBe(false);
+    expect(recordDelays(3)).toBe(false);
     now += 10_000;
     expect(delay.isStanding(now)).toBe(false);
   });
 
-  it('knows what is prompt', () => {
-    expect(play(...row(20, 700), 3)).toBe(false);
+  it('reports whether data arrived without delay', () => {
+    expect(recordDelays(...repeat(20, 700), 3)).toBe(false);
     expect(delay.isPrompt(now)).toBe(true);
-    play(...row(20, 700));
+    recordDelays(...repeat(20, 700));
     expect(delay.isPrompt(now)).toBe(false);
   });
 });
