--- a/packages/decisions/src/admission-policy.ts
+++ b/packages/decisions/src/admission-policy.ts
@@ -1,39 +1,46 @@
 import {RefusalReason} from './decision.js';
 import type {WorkItem} from './work.js';
 
-/** How much of the room for waiting requests is taken. */
+/** Current use of the limit on queued requests. */
 export interface QueueOccupancy {
   readonly queued: number;
   readonly queuedOfOrganisation: number;
   readonly maximumQueued: number;
 }
 
-/** The slots of one lane in one data centre. */
+/** Slot usage of one lane (service and model) in one data centre. */
 export interface SlotOccupancy {
   readonly free: number;
-  /** Taken by this router's interactive work. */
+  /** Slots occupied by this router's interactive requests. */
   readonly interactive: number;
 }
 
-/** Decides whether a request may ask for a slot at all. */
+/** Decides whether a request may compete for a slot or enter the queue. */
 export abstract class AdmissionPolicy {
   /**
-   * @param isOverloaded True while a queue of its class has been standing.
-   * @returns Why it may not, or undefined.
+   * @param isOverloaded True while the queue of the request's class is
+   *     standing.
+   * @returns The reason to refuse the request, or undefined to admit it.
    */
   abstract admit(
     item: WorkItem,
     isOverloaded: boolean,
   ): RefusalReason | undefined;
 
-  /** @returns Why a request that finds no free slot may not wait. */
+  /**
+   * @returns The reason to refuse a request that finds no free slot, or
+   * undefined if it may be queued.
+   */
   abstract admitToQueue(occupancy: QueueOccupancy): RefusalReason | undefined;
 
-  /** Whether work without precedence may take a free slot. */
-  abstract mayTakeOrdinary(occupancy: SlotOccupancy): boolean;
+  /** Whether a request without precedence may use a free slot. */
+  abstract mayUseFreeSlot(occupancy: SlotOccupancy): boolean;
 }
 
-/** Everything is admitted: the baseline. */
+/**
+ * Baseline policy: admits every request, and refuses only when the queue is
+ * full.
+ */
 export class AdmitAll extends AdmissionPolicy {
   override admit(): undefined {
     return undefined;
@@ -45,7 +52,7 @@
       : RefusalReason.QueueFull;
   }
 
-  override mayTakeOrdinary(): boolean {
+  override mayUseFreeSlot(): boolean {
     return true;
   }
 }
--- a/packages/decisions/src/affinity-placement.ts
+++ b/packages/decisions/src/affinity-placement.ts
@@ -5,24 +5,29 @@
 import type {WorkItem} from './work.js';
 
 /**
- * A holder of a prefix is preferred while its utilisation is at most this times
- * the mean (consistent hashing with bounded loads). Load: one scenario's prompt
- * is in most requests. Harm: the endpoint that holds it would get them all, and
- * waiting there costs more than the cached prefix saves.
+ * An endpoint that holds a prefix of the prompt is preferred while its
+ * utilisation is at most this factor times the mean (consistent hashing with
+ * bounded loads). When most requests share one scenario's prompt, the endpoint
+ * that caches it would otherwise receive all of them, and waiting there costs
+ * more than the cached prefix saves.
  */
 const AFFINITY_LOAD_BOUND = 1.25;
 
-/** Drawn at random where no holder is acceptable (the power of two choices). */
-const CHOICES = 2;
+/**
+ * Number of endpoints drawn at random when no holder of a prefix is acceptable
+ * (power of two choices).
+ */
+const RANDOM_CHOICES = 2;
 
 /**
- * The endpoint that holds the longest prefix of the prompt, within a bound on
- * its load; else the better of two random ones by load and slowness.
+ * Places a request on the endpoint that holds the longest prefix of its prompt,
+ * subject to a bound on that endpoint's load. Otherwise picks the better of two
+ * random endpoints by load and slowness.
  */
 export class AffinityPlacement extends PlacementPolicy {
   private readonly prefixes = new PrefixIndex();
 
-  /** @param fraction Random numbers from 0 (included) to 1 (excluded). */
+  /** @param fraction Returns random numbers in [0, 1). */
   constructor(private readonly fraction: () => number) {
     super();
   }
@@ -31,7 +36,7 @@
     item: WorkItem,
     pool: EndpointPool,
   ): EndpointState | undefined {
-    const holder = this.prefixes.longestHolder(
+    const holder = this.prefixes.holderOfLongestPrefix(
       item.prefixHashes,
       state =>
         pool.isFree(state) &&
@@ -42,14 +47,14 @@
   }
 
   override placed(item: WorkItem, state: EndpointState): void {
-    this.prefixes.note(state, item.prefixHashes);
+    this.prefixes.addPrefixes(state, item.prefixHashes);
   }
 
   override announced(
     state: EndpointState,
     prefixHashes: readonly string[],
   ): void {
-    this.prefixes.note(state, prefixHashes);
+    this.prefixes.addPrefixes(state, prefixHashes);
   }
 
   override removed(state: EndpointState): void {
@@ -61,7 +66,7 @@
     pool: EndpointPool,
   ): EndpointState | undefined {
     let best: EndpointState | undefined;
-    for (let choice = 0; choice < CHOICES; choice++) {
+    for (let choice = 0; choice < RANDOM_CHOICES; choice++) {
       const position = Math.floor(this.fraction() * pool.freeEndpoints);
       const candidate = pool.freeAt(position);
       if (candidate !== undefined) {
--- a/packages/decisions/src/class-queue.ts
+++ b/packages/decisions/src/class-queue.ts
@@ -6,12 +6,12 @@
 import {NO_BACKLOG, type Backlog, type QueuedWork} from './queue-policy.js';
 
 /**
- * The waiting requests of one class of work: a flow for each organisation, the
- * one that has had least of its share first.
+ * The queued requests of one class of work, with one flow per organisation. The
+ * organisation that has received the least of its share is served first.
  */
 export class ClassQueue {
   private readonly flows = new Map<OrganisationAccount, OrganisationFlow>();
-  private readonly order = new IndexedHeap<OrganisationFlow>();
+  private readonly flowsByFinishTag = new IndexedHeap<OrganisationFlow>();
   private readonly flowOfRequest = new Map<string, OrganisationFlow>();
   private weightSum = 0;
   private outputTokens = 0;
@@ -24,14 +24,14 @@
     return {requests: this.size, outputTokens: this.outputTokens};
   }
 
-  /** Number of organisations that have requests here. */
+  /** Number of organisations with queued requests. */
   get activeFlows(): number {
     return this.flows.size;
   }
 
-  /** The lowest finish tag; Infinity where nothing waits. */
-  get firstTag(): number {
-    return this.order.peekPriority() ?? Infinity;
+  /** The lowest finish tag; Infinity if the queue is empty. */
+  get lowestFinishTag(): number {
+    return this.flowsByFinishTag.peekPriority() ?? Infinity;
   }
 
   has(account: OrganisationAccount): boolean {
@@ -46,7 +46,7 @@
   }
 
   peek(): QueuedWork | undefined {
-    return this.order.peek()?.peek();
+    return this.flowsByFinishTag.peek()?.peek();
   }
 
   remove(requestId: string): boolean {
@@ -58,38 +58,39 @@
     this.flowOfRequest.delete(requestId);
     this.outputTokens -= work.item.maximumOutputTokens;
     if (flow.isEmpty) {
-      this.order.remove(flow);
+      this.flowsByFinishTag.remove(flow);
       this.flows.delete(flow.account);
       this.weightSum -= flow.account.weight;
     }
     return true;
   }
 
-  /** The account's finish tag has changed. */
+  /** Reorders the account's flow after its finish tag has changed. */
   retag(account: OrganisationAccount): void {
     const flow = this.flows.get(account);
     if (flow !== undefined) {
-      this.order.set(flow, account.finishTag);
+      this.flowsByFinishTag.set(flow, account.finishTag);
     }
   }
 
   /**
-   * The organisation's own backlog, times what the others that wait get
-   * meanwhile, but never more than waits at all.
+   * Estimates the backlog ahead of a new request: the organisation's own
+   * backlog, scaled by the share that the other waiting organisations receive
+   * in the meantime, and at most the whole queue.
    */
-  ahead(account: OrganisationAccount): Backlog {
+  backlogAhead(account: OrganisationAccount): Backlog {
     const own = this.flows.get(account)?.backlog ?? NO_BACKLOG;
-    const turns = this.weightSum / account.weight;
+    const shareRatio = this.weightSum / account.weight;
     return {
-      requests: Math.min(this.size, own.requests * turns),
-      outputTokens: Math.min(this.outputTokens, own.outputTokens * turns),
+      requests: Math.min(this.size, own.requests * shareRatio),
+      outputTokens: Math.min(this.outputTokens, own.outputTokens * shareRatio),
     };
   }
 
   private addFlow(account: OrganisationAccount): OrganisationFlow {
     const flow = new OrganisationFlow(account);
     this.flows.set(account, flow);
-    this.order.set(flow, account.finishTag);
+    this.flowsByFinishTag.set(flow, account.finishTag);
     this.weightSum += account.weight;
     return flow;
   }
--- a/packages/decisions/src/class-shares.ts
+++ b/packages/decisions/src/class-shares.ts
@@ -1,47 +1,57 @@
 import {WorkClass} from './work.js';
 
 /**
- * Share of the tokens that waiting batch work gets while interactive work waits
- * as well. Load: interactive work alone fills the fleet for hours. Harm: case
- * reviews never start and a certification date slips. A tenth keeps batch work
- * moving, and costs interactive work at most a tenth of the capacity.
+ * Minimum share of the tokens for batch work that waits while interactive work
+ * waits as well. If interactive work alone filled the fleet for hours, case
+ * reviews would never start and a certification date would slip. A tenth keeps
+ * batch work progressing, and costs interactive work at most a tenth of the
+ * capacity.
  */
-export const BATCH_SHARE = 0.1;
+export const MINIMUM_BATCH_SHARE = 0.1;
 
-/** The measured share follows about the last hundred requests. */
-const SAMPLE_SHARE = 0.01;
+/**
+ * Smoothing factor of the measured share, which covers about the last hundred
+ * requests.
+ */
+const SMOOTHING_FACTOR = 0.01;
 
 /**
- * Start-time fair queueing between the two classes of work, nine to one. While
- * interactive work comes in below nine tenths of the capacity it is always next,
- * since an idle class starts again at the present virtual time.
+ * Start-time fair queueing between the two classes of work, weighted nine to
+ * one. Interactive work is always next while its load is below nine tenths of
+ * the capacity, because an idle class restarts at the current virtual time.
  */
 export class ClassShares {
   private virtualTime = 0;
   private interactiveTag = 0;
   private batchTag = 0;
   private meanCharge = 0;
-  private measuredBatchShare = BATCH_SHARE;
+  private measuredBatchShare = MINIMUM_BATCH_SHARE;
 
-  /** True where waiting batch work has had less than its tenth. */
-  get owesBatch(): boolean {
+  /**
+   * True if waiting batch work has received less than its tenth by the finish
+   * tags, and is therefore next.
+   */
+  get isBatchNext(): boolean {
     return this.batchTag < this.interactiveTag;
   }
 
   /**
-   * True where batch work has got less than its tenth of the last hundred
-   * requests' tokens while it waited.
+   * True if batch work received less than a tenth of the tokens of about the
+   * last hundred requests while it waited.
    */
   get isBatchStarved(): boolean {
-    return this.measuredBatchShare < BATCH_SHARE;
+    return this.measuredBatchShare < MINIMUM_BATCH_SHARE;
   }
 
-  /** The part of the tokens that batch work has got lately while it waited. */
+  /**
+   * Share of the tokens that batch work recently received while it waited, and
+   * at least its guaranteed share.
+   */
   get batchShare(): number {
-    return Math.max(BATCH_SHARE, this.measuredBatchShare);
+    return Math.max(MINIMUM_BATCH_SHARE, this.measuredBatchShare);
   }
 
-  /** Work of a class waits again. */
+  /** Marks a class as waiting again after it was idle. */
   activate(workClass: WorkClass): void {
     if (workClass === WorkClass.Interactive) {
       this.interactiveTag = Math.max(this.interactiveTag, this.virtualTime);
@@ -50,22 +60,27 @@
     }
   }
 
-  /** @param doesBatchWait Whether the measured share may learn from it. */
-  charge(workClass: WorkClass, tokens: number, doesBatchWait: boolean): void {
+  /**
+   * Charges a class for a placed request.
+   *
+   * @param isBatchWaiting Whether batch work is waiting; only then the measured
+   *     share is updated.
+   */
+  charge(workClass: WorkClass, tokens: number, isBatchWaiting: boolean): void {
     const isBatch = workClass === WorkClass.Batch;
     const tag = isBatch ? this.batchTag : this.interactiveTag;
     this.virtualTime = Math.max(this.virtualTime, tag);
     this.setTag(workClass, this.virtualTime + tokens / weightOf(workClass));
-    this.meanCharge += SAMPLE_SHARE * (tokens - this.meanCharge);
-    if (doesBatchWait) {
-      const weight = Math.min(1, (SAMPLE_SHARE * tokens) / this.meanCharge);
+    this.meanCharge += SMOOTHING_FACTOR * (tokens - this.meanCharge);
+    if (isBatchWaiting) {
+      const weight = Math.min(1, (SMOOTHING_FACTOR * tokens) / this.meanCharge);
       const sample = isBatch ? 1 : 0;
       this.measuredBatchShare += weight * (sample - this.measuredBatchShare);
     }
   }
 
-  /** A charge was an upper bound: what was not used is given back. */
-  giveBack(workClass: WorkClass, tokens: number): void {
+  /** Refunds the unused part of a charge, which is an upper bound. */
+  refund(workClass: WorkClass, tokens: number): void {
     const tag =
       workClass === WorkClass.Batch ? this.batchTag : this.interactiveTag;
     this.setTag(workClass, tag - tokens / weightOf(workClass));
@@ -81,5 +96,7 @@
 }
 
 function weightOf(workClass: WorkClass): number {
-  return workClass === WorkClass.Batch ? BATCH_SHARE : 1 - BATCH_SHARE;
+  return workClass === WorkClass.Batch
+    ? MINIMUM_BATCH_SHARE
+    : 1 - MINIMUM_BATCH_SHARE;
 }
--- a/packages/decisions/src/deadline-refusal.ts
+++ b/packages/decisions/src/deadline-refusal.ts
@@ -7,19 +7,20 @@
 import {WorkClass, type WorkItem} from './work.js';
 
 /**
- * While a queue has been standing, interactive work may wait at most this part
- * of the time that a first token takes anyway. Load: more interactive work than
- * capacity for longer than a burst. Harm: a standing queue serves nobody sooner,
- * it only makes each answer late. Half keeps the p99 to first token within 1.5
- * times that of a fleet with free slots, by its construction.
+ * Maximum wait of interactive work in a standing queue, as a share of the
+ * expected time to first token. When there is more interactive work than
+ * capacity for longer than a burst, a standing queue serves no request sooner
+ * and only delays every answer. By construction, one half keeps the p99 time to
+ * first token within 1.5 times that of a fleet with free slots.
  */
-const STANDING_WAIT_SHARE = 0.5;
+const MAXIMUM_STANDING_WAIT_SHARE = 0.5;
 
 /**
- * Refuses at once what cannot have its first token by its deadline, so that the
- * caller learns it while it can still do something else, and no slot is spent on
- * an answer that comes too late. A burst may use the whole time until the
- * deadline; a standing queue is cut short (controlled delay).
+ * Immediately refuses requests that cannot get their first token before their
+ * deadline. The caller learns of it while it can still use an alternative, and
+ * no slot is spent on an answer that arrives too late. A burst may use the
+ * whole time until the deadline; waits in a standing queue are limited
+ * (controlled delay).
  */
 export class DeadlineRefusal extends RefusalPolicy {
   override refuse(
@@ -27,31 +28,34 @@
     estimate: WaitEstimate,
     now: number,
   ): EarlyRefusal | undefined {
-    const longest = longestWait(item, estimate, now);
-    const excess = estimate.waitMilliseconds - longest;
-    return excess <= 0
+    const maximumWait = maximumWaitMilliseconds(item, estimate, now);
+    const excessMilliseconds = estimate.waitMilliseconds - maximumWait;
+    return excessMilliseconds <= 0
       ? undefined
       : {
           reason: RefusalReason.DeadlineUnreachable,
-          excessMilliseconds: excess,
+          excessMilliseconds,
         };
   }
 
-  /** From then on its first token would come too late. */
+  /** Returns the time after which the first token would miss the deadline. */
   override refuseAt(item: WorkItem, estimate: WaitEstimate): number {
     return item.deadlineAt - estimate.firstTokenMilliseconds;
   }
 }
 
-function longestWait(
+function maximumWaitMilliseconds(
   item: WorkItem,
   estimate: WaitEstimate,
   now: number,
 ): number {
-  const untilLate = item.deadlineAt - now - estimate.firstTokenMilliseconds;
-  const isCut =
+  const untilTooLate = item.deadlineAt - now - estimate.firstTokenMilliseconds;
+  const isWaitLimited =
     estimate.isOverloaded && item.workClass === WorkClass.Interactive;
-  return isCut
-    ? Math.min(untilLate, estimate.firstTokenMilliseconds * STANDING_WAIT_SHARE)
-    : untilLate;
+  return isWaitLimited
+    ? Math.min(
+        untilTooLate,
+        estimate.firstTokenMilliseconds * MAXIMUM_STANDING_WAIT_SHARE,
+      )
+    : untilTooLate;
 }
--- a/packages/decisions/src/decision.ts
+++ b/packages/decisions/src/decision.ts
@@ -1,37 +1,42 @@
-/** What happens to a request next. */
+/** The next step of a request. */
 export enum DecisionKind {
-  /** Send it to the endpoint named. */
+  /** Send the request to the named endpoint. */
   Place = 'place',
-  /** It waits; a later call returns its placement or refusal. */
+  /** The request is queued; a later call returns its placement or refusal. */
   Queue = 'queue',
-  /** It is not run, and will never be placed. */
+  /** The request is not run, and will never be placed. */
   Refuse = 'refuse',
 }
 
-/** Why a request is refused. All of them mean that it did not run. */
+/** Why a request is refused. In every case the request did not run. */
 export enum RefusalReason {
-  /** No endpoint of the service and model exists or all are leaving. */
+  /**
+   * The service and model have no endpoint, or all of their endpoints are
+   * leaving.
+   */
   NoEndpoint = 'no-endpoint',
-  /** As many requests wait as memory and usefulness allow. */
+  /** The limit on queued requests is reached. */
   QueueFull = 'queue-full',
-  /** By the computed wait, its first token would come after its deadline. */
+  /** With the expected wait, the first token would miss the deadline. */
   DeadlineUnreachable = 'deadline-unreachable',
-  /** Its deadline passed while it waited. */
+  /** The deadline passed while the request was queued. */
   DeadlinePassed = 'deadline-passed',
-  /** Too large a share of the work offered lately were retries. */
+  /**
+   * Retries made up too large a share of the organisation's recent requests.
+   */
   RetryBudgetExhausted = 'retry-budget-exhausted',
-  /** Its organisation has more than its share waiting already. */
+  /** The organisation already has more than its share of queued requests. */
   ShareExhausted = 'share-exhausted',
 }
 
-/** The request goes to an endpoint now. */
+/** The request is sent to an endpoint now. */
 export interface PlaceDecision {
   readonly kind: DecisionKind.Place;
   readonly requestId: string;
   readonly endpoint: string;
 }
 
-/** The request waits. */
+/** The request is queued. */
 export interface QueueDecision {
   readonly kind: DecisionKind.Queue;
   readonly requestId: string;
@@ -42,7 +47,7 @@
   readonly kind: DecisionKind.Refuse;
   readonly requestId: string;
   readonly reason: RefusalReason;
-  /** After how long a new try may fare better. */
+  /** Time after which a retry may succeed, in milliseconds. */
   readonly retryAfterMilliseconds: number;
 }
 
--- a/packages/decisions/src/endpoint-health.ts
+++ b/packages/decisions/src/endpoint-health.ts
@@ -1,71 +1,82 @@
 /**
- * Slowness has to last for about this long to be believed. Load: one long prompt
- * delays all that were placed beside it. Harm: late first tokens that come at
- * the same moment look like many signs and are one; a fleet with a mix of long
- * and short prompts would shed half of itself. Samples are therefore weighed by
- * the time that they stand for.
+ * Time constant with which the slowness of an endpoint rises, in milliseconds.
+ * One long prompt delays all requests placed beside it, so many late first
+ * tokens that arrive at the same moment are a single observation. If they were
+ * counted separately, a fleet with a mix of long and short prompts would shed
+ * half of itself. Samples are therefore weighted by the time that they cover.
+ */
+const RISE_TIME_CONSTANT_MILLISECONDS = 2_000;
+/**
+ * Time constant with which the slowness falls, in milliseconds. A slow endpoint
+ * recovers its rating more slowly than it loses it.
+ */
+const FALL_TIME_CONSTANT_MILLISECONDS = 4_000;
+/** Maximum weight of one sample after a period without samples. */
+const MAXIMUM_SAMPLE_WEIGHT = 0.4;
+/**
+ * Ratio recorded for a failed request, in multiples of the expected time to
+ * first token.
  */
-const RISE_MILLISECONDS = 2_000;
-/** What was slow is trusted again more slowly. */
-const FALL_MILLISECONDS = 4_000;
-/** After a silence, one sample counts at most so much. */
-const LARGEST_SHARE = 0.4;
-/** What a failed request counts as, in expected first-token times. */
 const FAILURE_RATIO = 10;
-/** A sample counts at most so much either way. */
-const HIGHEST_RATIO = 20;
+/** Upper bound of a sample's ratio; its reciprocal is the lower bound. */
+const MAXIMUM_RATIO = 20;
 
 /**
- * How an endpoint compares with its lane: a peak-sensitive moving mean of its
- * times to first token over what was expected (peak EWMA). It is a geometric
- * mean, so that one outlier weighs little.
+ * Compares an endpoint with its lane: a peak-sensitive moving average (peak
+ * EWMA) of the ratio between its times to first token and the expected ones.
+ * The average is geometric, so a single outlier has little weight.
  */
 export class EndpointHealth {
   private meanLogarithm = 0;
   private observedAt = 0;
 
-  /** 1 is as expected; 10 is ten times slower. */
+  /** 1 is as fast as expected; 10 is ten times slower. */
   get slowness(): number {
     return Math.exp(this.meanLogarithm);
   }
 
   /**
-   * The slowness if work that is still awaited came now: an endpoint that has
-   * stopped answers nothing, so its silence has to count.
+   * The slowness if the outstanding first token arrived now. An endpoint that
+   * has stopped produces no samples, so its silence has to count.
    */
   slownessWith(overdueRatio: number, now: number): number {
     return overdueRatio > this.slowness
-      ? Math.exp(this.weighed(overdueRatio, now))
+      ? Math.exp(this.updatedMean(overdueRatio, now))
       : this.slowness;
   }
 
-  /** Learns a time to first token over the expected one. */
+  /** Records the ratio of a time to first token to the expected time. */
   observe(ratio: number, now: number): void {
-    this.meanLogarithm = this.weighed(ratio, now);
+    this.meanLogarithm = this.updatedMean(ratio, now);
     this.observedAt = now;
   }
 
   /**
-   * A failure counts as very slow: an endpoint that fails at once frees its
-   * slot at once, and would else draw all the work to itself.
+   * Records a failure as a very slow answer. An endpoint that fails immediately
+   * also frees its slot immediately, and would otherwise attract all the work.
    */
   observeFailure(now: number): void {
     this.observe(FAILURE_RATIO, now);
   }
 
-  /** Forgets the past, after probes went well. */
+  /** Discards the history after successful probes. */
   reset(): void {
     this.meanLogarithm = 0;
   }
 
-  private weighed(ratio: number, now: number): number {
+  private updatedMean(ratio: number, now: number): number {
     const sample = Math.log(
-      Math.min(HIGHEST_RATIO, Math.max(1 / HIGHEST_RATIO, ratio)),
+      Math.min(MAXIMUM_RATIO, Math.max(1 / MAXIMUM_RATIO, ratio)),
     );
-    const span =
-      sample > this.meanLogarithm ? RISE_MILLISECONDS : FALL_MILLISECONDS;
+    const timeConstant =
+      sample > this.meanLogarithm
+        ? RISE_TIME_CONSTANT_MILLISECONDS
+        : FALL_TIME_CONSTANT_MILLISECONDS;
     const elapsed = Math.max(0, now - this.observedAt);
-    const share = Math.min(LARGEST_SHARE, 1 - Math.exp(-elapsed / span));
-    return this.meanLogarithm + share * (sample - this.meanLogarithm);
+    const weight = Math.min(
+      MAXIMUM_SAMPLE_WEIGHT,
+      1 - Math.exp(-elapsed / timeConstant),
+    );
+    return this.meanLogarithm + weight * (sample - this.meanLogarithm);
   }
 }
--- a/packages/decisions/src/endpoint-pool.ts
+++ b/packages/decisions/src/endpoint-pool.ts
@@ -7,39 +7,39 @@
 }
 
 /**
- * The endpoints of one lane in one data centre. Keeps those with a free slot in
- * an array, so that drawing one at random, adding and removing take constant
- * time whatever the number of endpoints.
+ * The endpoints of one lane in one data centre. Endpoints with a free slot are
+ * kept in an array, so that drawing one at random, adding and removing take
+ * constant time regardless of the number of endpoints.
  */
 export class EndpointPool {
   private readonly members = new Map<EndpointState, Membership>();
-  private readonly free: EndpointState[] = [];
+  private readonly freeStates: EndpointState[] = [];
   private readonly positions = new Map<EndpointState, number>();
   private slotSum = 0;
   private loadSum = 0;
   private interactiveSum = 0;
 
-  /** Endpoints that have a free slot. */
+  /** Number of endpoints with a free slot. */
   get freeEndpoints(): number {
-    return this.free.length;
+    return this.freeStates.length;
   }
 
-  /** Slots that may be filled, free or not. */
+  /** Number of usable slots, free or occupied. */
   get slots(): number {
     return this.slotSum;
   }
 
-  /** Slots that are free. */
+  /** Number of free slots. */
   get freeSlots(): number {
     return this.slotSum - this.loadSum;
   }
 
-  /** Slots taken by this router's interactive work. */
+  /** Number of slots occupied by this router's interactive requests. */
   get interactive(): number {
     return this.interactiveSum;
   }
 
-  /** The mean share of the slots that is taken. */
+  /** Share of the slots that is occupied. */
   get utilisation(): number {
     return this.slotSum === 0 ? 1 : this.loadSum / this.slotSum;
   }
@@ -48,18 +48,19 @@
     return this.positions.has(state);
   }
 
-  /** @param position From 0 to below freeEndpoints. */
+  /** @param position An index from 0 to below `freeEndpoints`. */
   freeAt(position: number): EndpointState | undefined {
-    return this.free[position];
+    return this.freeStates[position];
   }
 
   /**
-   * Takes in what changed at an endpoint.
+   * Updates the pool after a change to an endpoint.
    *
-   * @param slots How many of this router's requests it may hold; 0 takes it out.
+   * @param slots Number of this router's requests that it may hold; 0 removes
+   *     it.
    */
   refresh(state: EndpointState, slots: number): void {
-    this.forgetSums(state);
+    this.subtractSums(state);
     if (slots > 0) {
       const load = state.ownInProgress;
       const interactive = state.ownInteractive;
@@ -71,17 +72,17 @@
     this.setFree(state, state.ownInProgress < slots);
   }
 
-  /** Takes an endpoint out. */
+  /** Removes an endpoint. */
   remove(state: EndpointState): void {
     this.refresh(state, 0);
   }
 
-  private forgetSums(state: EndpointState): void {
-    const known = this.members.get(state);
-    if (known !== undefined) {
-      this.slotSum -= known.slots;
-      this.loadSum -= known.load;
-      this.interactiveSum -= known.interactive;
+  private subtractSums(state: EndpointState): void {
+    const membership = this.members.get(state);
+    if (membership !== undefined) {
+      this.slotSum -= membership.slots;
+      this.loadSum -= membership.load;
+      this.interactiveSum -= membership.interactive;
       this.members.delete(state);
     }
   }
@@ -92,14 +93,14 @@
       return;
     }
     if (position === undefined) {
-      this.positions.set(state, this.free.length);
-      this.free.push(state);
+      this.positions.set(state, this.freeStates.length);
+      this.freeStates.push(state);
       return;
     }
     this.positions.delete(state);
-    const last = this.free.pop();
+    const last = this.freeStates.pop();
     if (last !== undefined && last !== state) {
-      this.free[position] = last;
+      this.freeStates[position] = last;
       this.positions.set(last, position);
     }
   }
--- a/packages/decisions/src/endpoint-pools.ts
+++ b/packages/decisions/src/endpoint-pools.ts
@@ -5,28 +5,28 @@
 /** The endpoints of one lane in another data centre. */
 export interface RemotePool {
   readonly dataCenter: string;
-  readonly tripMilliseconds: number;
+  readonly roundTripMilliseconds: number;
   readonly pool: EndpointPool;
 }
 
-/** The endpoints of one lane by data centre, the nearest first. */
+/** The endpoints of one lane, grouped by data centre, nearest first. */
 export class EndpointPools {
   readonly local = new EndpointPool();
   private readonly remotePools: RemotePool[] = [];
-  private readonly poolOf = new Map<EndpointState, EndpointPool>();
+  private readonly poolByState = new Map<EndpointState, EndpointPool>();
 
   constructor(
     private readonly shift: ShiftPolicy,
     private readonly dataCenter: string,
-    private readonly tripMilliseconds: (dataCenter: string) => number,
+    private readonly roundTripMilliseconds: (dataCenter: string) => number,
   ) {}
 
-  /** Other data centres, the shortest trip first. */
+  /** Pools of other data centres, by ascending round-trip time. */
   get remote(): readonly RemotePool[] {
     return this.remotePools;
   }
 
-  /** Slots that this router's work may fill, in all data centres. */
+  /** Number of slots that this router may use, over all data centres. */
   get slots(): number {
     return this.remotePools.reduce(
       (sum, {pool}) => sum + pool.slots,
@@ -34,22 +34,22 @@
     );
   }
 
-  /** Endpoints known, whether they may be used or not. */
+  /** Number of endpoints, whether usable or not. */
   get size(): number {
-    return this.poolOf.size;
+    return this.poolByState.size;
   }
 
   /**
-   * Takes in what changed at an endpoint.
+   * Updates the pool of an endpoint after a change to it.
    *
-   * @param usableSlots 0 where it may get no work now.
+   * @param usableSlots 0 if the endpoint may receive no work now.
    */
   refresh(state: EndpointState, usableSlots: number): void {
     const pool = this.poolFor(state.description.dataCenter);
-    const former = this.poolOf.get(state);
-    if (former !== pool) {
-      former?.remove(state);
-      this.poolOf.set(state, pool);
+    const previous = this.poolByState.get(state);
+    if (previous !== pool) {
+      previous?.remove(state);
+      this.poolByState.set(state, pool);
     }
     const isLocal = pool === this.local;
     const slots =
@@ -59,28 +59,32 @@
     pool.refresh(state, slots);
   }
 
-  /** Takes an endpoint out. */
+  /** Removes an endpoint. */
   remove(state: EndpointState): void {
-    this.poolOf.get(state)?.remove(state);
-    this.poolOf.delete(state);
+    this.poolByState.get(state)?.remove(state);
+    this.poolByState.delete(state);
   }
 
   private poolFor(dataCenter: string): EndpointPool {
     if (dataCenter === this.dataCenter) {
       return this.local;
     }
-    const known = this.remotePools.find(
+    const existing = this.remotePools.find(
       remote => remote.dataCenter === dataCenter,
     );
-    return known?.pool ?? this.addRemotePool(dataCenter);
+    return existing?.pool ?? this.addRemotePool(dataCenter);
   }
 
   private addRemotePool(dataCenter: string): EndpointPool {
     const pool = new EndpointPool();
-    const tripMilliseconds = this.tripMilliseconds(dataCenter);
-    this.remotePools.push({dataCenter, tripMilliseconds, pool});
+    const roundTripMilliseconds = this.roundTripMilliseconds(dataCenter);
+    this.remotePools.push({
+      dataCenter,
+      roundTripMilliseconds,
+      pool,
+    });
     this.remotePools.sort(
-      (left, right) => left.tripMilliseconds - right.tripMilliseconds,
+      (left, right) => left.roundTripMilliseconds - right.roundTripMilliseconds,
     );
     return pool;
   }
--- a/packages/decisions/src/endpoint-state.ts
+++ b/packages/decisions/src/endpoint-state.ts
@@ -6,13 +6,14 @@
 import {WorkClass, type WorkItem} from './work.js';
 
 /**
- * Reports lag by about this long. The router's own count is smoothed over it
- * before it is subtracted from a report, so that own work which began or ended
- * meanwhile is not taken for other routers' work.
+ * Approximate lag of load reports, in milliseconds. The router's own request
+ * count is smoothed over this time before it is subtracted from a report, so
+ * that its own requests that started or ended in between are not attributed to
+ * other routers.
  */
 const REPORT_LAG_MILLISECONDS = 1_000;
 
-/** One request of this router at an endpoint. */
+/** A request of this router that was placed on an endpoint. */
 export interface PlacedWork {
   readonly item: WorkItem;
   readonly state: EndpointState;
@@ -21,18 +22,20 @@
   firstTokenAt: number | undefined;
 }
 
-/** What is known of one endpoint: its description, and this router's own work. */
+/**
+ * State of one endpoint: its description, and this router's own requests there.
+ */
 export class EndpointState {
   readonly health = new EndpointHealth();
-  /** Set while the endpoint is shed as slow; it then gets probes only. */
+  /** Set while the endpoint is shed as slow and receives only probes. */
   shedSince: number | undefined;
   private readonly inProgress = new Map<string, WorkClass>();
   private interactive = 0;
-  /** Without a first token yet, oldest first. */
-  private readonly awaited = new Map<string, PlacedWork>();
-  private othersInProgress = 0;
-  private saysLeaving = false;
-  private smoothedOwn = 0;
+  /** Requests without a first token so far, oldest first. */
+  private readonly awaitingFirstToken = new Map<string, PlacedWork>();
+  private otherRoutersInProgress = 0;
+  private isReportedLeaving = false;
+  private smoothedOwnRequests = 0;
   private smoothedAt = 0;
 
   constructor(public description: EndpointDescription) {}
@@ -41,77 +44,87 @@
     return this.description.endpoint;
   }
 
-  /** This router's requests in progress there. */
+  /** Number of this router's requests in progress at the endpoint. */
   get ownInProgress(): number {
     return this.inProgress.size;
   }
 
-  /** Those of them that are interactive. */
+  /** Number of this router's interactive requests in progress. */
   get ownInteractive(): number {
     return this.interactive;
   }
 
-  /** Own work in progress, and what the last report leaves to other routers. */
+  /**
+   * This router's requests in progress, plus those of other routers according
+   * to the last report.
+   */
   get load(): number {
-    return this.inProgress.size + this.othersInProgress;
+    return this.inProgress.size + this.otherRoutersInProgress;
   }
 
-  /** From the first of: configuration, the platform's list, its own word. */
+  /**
+   * True as soon as the configuration, the platform's list or the endpoint's
+   * own report says that it is leaving.
+   */
   get leaving(): boolean {
-    return this.description.leaving || this.saysLeaving;
+    return this.description.leaving || this.isReportedLeaving;
   }
 
   /**
-   * Slots that this router may fill. At least one, however much others do there
-   * by the report: a router whose reports are late would else never be served
-   * beside routers that fill each slot as it falls free.
+   * Number of slots that this router may use. It is at least one, whatever the
+   * reports say about other routers: a router with late reports would otherwise
+   * never be served beside routers that fill each slot as soon as it is free.
    */
   get usableSlots(): number {
     return this.leaving
       ? 0
-      : Math.max(1, this.description.slots - this.othersInProgress);
+      : Math.max(1, this.description.slots - this.otherRoutersInProgress);
   }
 
   /** The request that has waited longest for its first token. */
-  get oldestAwaited(): PlacedWork | undefined {
-    return this.awaited.values().next().value;
+  get oldestAwaitingFirstToken(): PlacedWork | undefined {
+    return this.awaitingFirstToken.values().next().value;
   }
 
-  /** A request was placed there. */
+  /** Records that a request was placed. */
   begin(work: PlacedWork): void {
-    this.smoothOwn(work.placedAt);
+    this.updateSmoothedOwnRequests(work.placedAt);
     this.inProgress.set(work.item.requestId, work.item.workClass);
     this.interactive += interactiveCount(work.item.workClass);
-    this.awaited.set(work.item.requestId, work);
+    this.awaitingFirstToken.set(work.item.requestId, work);
   }
 
-  /** Its first token has arrived. */
+  /** Records the first token of a request. */
   firstToken(requestId: string): void {
-    this.awaited.delete(requestId);
+    this.awaitingFirstToken.delete(requestId);
   }
 
-  /** It has ended. */
+  /** Records the end of a request. */
   end(requestId: string, now: number): void {
-    this.smoothOwn(now);
+    this.updateSmoothedOwnRequests(now);
     this.interactive -= interactiveCount(this.inProgress.get(requestId));
     this.inProgress.delete(requestId);
-    this.awaited.delete(requestId);
+    this.awaitingFirstToken.delete(requestId);
   }
 
-  /** Takes in a lagging report: only what others do there is believed of it. */
+  /**
+   * Applies a lagging load report. Only the number of other routers' requests
+   * is derived from it.
+   */
   report(report: EngineLoadReport, now: number): void {
-    this.smoothOwn(now);
-    const own = Math.max(this.smoothedOwn, this.inProgress.size);
+    this.updateSmoothedOwnRequests(now);
+    const own = Math.max(this.smoothedOwnRequests, this.inProgress.size);
     const reported = report.running + report.waiting;
-    this.othersInProgress = Math.max(0, Math.floor(reported - own));
-    this.saysLeaving = report.leaving;
+    this.otherRoutersInProgress = Math.max(0, Math.floor(reported - own));
+    this.isReportedLeaving = report.leaving;
   }
 
-  private smoothOwn(now: number): void {
+  private updateSmoothedOwnRequests(now: number): void {
     const elapsed = Math.max(0, now - this.smoothedAt);
-    const kept = Math.exp(-elapsed / REPORT_LAG_MILLISECONDS);
-    this.smoothedOwn =
-      this.inProgress.size + kept * (this.smoothedOwn - this.inProgress.size);
+    const decay = Math.exp(-elapsed / REPORT_LAG_MILLISECONDS);
+    this.smoothedOwnRequests =
+      this.inProgress.size +
+      decay * (this.smoothedOwnRequests - this.inProgress.size);
     this.smoothedAt = now;
   }
 }
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -1,6 +1,9 @@
 import {ClassQueue} from './class-queue.js';
 import {ClassShares} from './class-shares.js';
-import {chargeOf, OrganisationAccounts} from './organisation-accounts.js';
+import {
+  maximumTokensOf,
+  OrganisationAccounts,
+} from './organisation-accounts.js';
 import type {OrganisationAccount} from './organisation-flow.js';
 import {
   NO_BACKLOG,
@@ -11,18 +14,18 @@
 import {WorkClass, type WorkItem} from './work.js';
 
 /**
- * Interactive work goes before other organisations' batch work as long as its
- * own organisation is at most so many requests' worth ahead of them. Load: one
- * organisation offers ten times its share of interactive work. Harm: without a
- * limit it would take the others' share of batch work. Twenty requests are more
- * than a busy minute's fluctuation and less than a second of the fleet's work.
+ * Interactive work precedes the batch work of other organisations while its own
+ * organisation is at most this many average requests ahead of them. Without a
+ * limit, an organisation that offers ten times its share of interactive work
+ * would take the others' share of batch work. Twenty requests are more than the
+ * fluctuation in a busy minute and less than a second of the fleet's work.
  */
 const PRECEDENCE_REQUESTS = 20;
 
 /**
- * Interactive before batch, and fair shares between organisations by tokens over
- * both classes: an organisation's interactive work has precedence only within
- * its share.
+ * Serves interactive work before batch work, with fair shares between
+ * organisations by tokens over both classes. An organisation's interactive work
+ * has precedence only within its share.
  */
 export class FairQueue extends QueuePolicy {
   private readonly accounts = new OrganisationAccounts();
@@ -38,13 +41,14 @@
     return this.queueOf(workClass).size;
   }
 
-  override get precedenceWaits(): boolean {
+  override get hasPrecedenceWaiting(): boolean {
     return (
-      this.interactive.size > 0 && this.isWithinShare(this.interactive.firstTag)
+      this.interactive.size > 0 &&
+      this.isWithinShare(this.interactive.lowestFinishTag)
     );
   }
 
-  override get owesBatch(): boolean {
+  override get isBatchStarved(): boolean {
     return this.batch.size > 0 && this.shares.isBatchStarved;
   }
 
@@ -56,7 +60,9 @@
   }
 
   override mayOvertake(item: WorkItem): boolean {
-    return this.hasPrecedence(item) ? !this.precedenceWaits : this.size === 0;
+    return this.hasPrecedence(item)
+      ? !this.hasPrecedenceWaiting
+      : this.size === 0;
   }
 
   override push(work: QueuedWork): void {
@@ -79,7 +85,7 @@
     if (this.batch.size === 0) {
       return this.interactive.peek();
     }
-    return this.shares.owesBatch || !this.precedenceWaits
+    return this.shares.isBatchNext || !this.hasPrecedenceWaiting
       ? this.batch.peek()
       : this.interactive.peek();
   }
@@ -90,7 +96,7 @@
 
   override charge(item: WorkItem): void {
     const account = this.accounts.of(item);
-    const tokens = chargeOf(item);
+    const tokens = maximumTokensOf(item);
     this.accounts.charge(account, tokens);
     this.retag(account);
     this.shares.charge(item.workClass, tokens, this.batch.size > 0);
@@ -98,43 +104,50 @@
 
   override settle(item: WorkItem, usedTokens: number): void {
     const account = this.accounts.of(item);
-    const unused = chargeOf(item) - usedTokens;
-    this.accounts.giveBack(account, unused);
+    const unused = maximumTokensOf(item) - usedTokens;
+    this.accounts.refund(account, unused);
     this.retag(account);
-    this.shares.giveBack(item.workClass, unused);
+    this.shares.refund(item.workClass, unused);
   }
 
-  override ahead(item: WorkItem): Backlog {
+  override backlogAhead(item: WorkItem): Backlog {
     const account = this.accounts.of(item);
     if (item.workClass === WorkClass.Interactive) {
       return sum(
-        this.interactive.ahead(account),
-        this.batchBefore(account.finishTag),
+        this.interactive.backlogAhead(account),
+        this.batchBacklogBefore(account.finishTag),
       );
     }
-    // Interactive work that comes meanwhile goes first.
+    // Interactive work that arrives in the meantime is served first.
     return sum(
       this.interactive.backlog,
-      scaled(this.batch.ahead(account), 1 / this.shares.batchShare),
+      scaled(this.batch.backlogAhead(account), 1 / this.shares.batchShare),
     );
   }
 
   private isWithinShare(tag: number): boolean {
-    return this.batch.size === 0 || this.lead(tag) <= 0;
+    return this.batch.size === 0 || this.excessOverPrecedence(tag) <= 0;
   }
 
-  /** By how much a tag lies beyond the precedence of interactive work. */
-  private lead(tag: number): number {
+  /**
+   * Returns by how much a finish tag exceeds the limit for precedence of
+   * interactive work.
+   */
+  private excessOverPrecedence(tag: number): number {
     const allowed = PRECEDENCE_REQUESTS * this.accounts.meanRequestStep;
-    return tag - (this.batch.firstTag + allowed);
+    return tag - (this.batch.lowestFinishTag + allowed);
   }
 
-  /** Batch work that others get before an organisation ahead of its share. */
-  private batchBefore(tag: number): Backlog {
+  /**
+   * Returns the batch work of others that is served before an organisation that
+   * has exceeded its share.
+   */
+  private batchBacklogBefore(tag: number): Backlog {
     if (this.isWithinShare(tag)) {
       return NO_BACKLOG;
     }
-    const requestsEach = this.lead(tag) / this.accounts.meanRequestStep;
+    const requestsEach =
+      this.excessOverPrecedence(tag) / this.accounts.meanRequestStep;
     const part = (requestsEach * this.batch.activeFlows) / this.batch.size;
     return scaled(this.batch.backlog, Math.min(1, part));
   }
--- a/packages/decisions/src/first-come-queue.ts
+++ b/packages/decisions/src/first-come-queue.ts
@@ -1,23 +1,23 @@
 import {QueuePolicy, type Backlog, type QueuedWork} from './queue-policy.js';
 
 /**
- * First come, first served, for both classes of work alike: the baseline. One
- * organisation's burst stands before everybody else's next request.
+ * Baseline policy: first come, first served, for both classes of work. A burst
+ * of one organisation delays the next request of every other organisation.
  */
 export class FirstComeQueue extends QueuePolicy {
-  /** A map keeps the order of insertion. */
+  /** A map keeps the insertion order. */
   private readonly waiting = new Map<string, QueuedWork>();
   private outputTokens = 0;
 
-  override readonly precedenceWaits = false;
+  override readonly hasPrecedenceWaiting = false;
   /** No class has a guaranteed share. */
-  override readonly owesBatch = false;
+  override readonly isBatchStarved = false;
 
   override get size(): number {
     return this.waiting.size;
   }
 
-  /** The classes are not told apart. */
+  /** The classes share one queue. */
   override sizeOf(): number {
     return this.waiting.size;
   }
@@ -46,14 +46,14 @@
   }
 
   override charge(): void {
-    // Nobody's share is counted.
+    // Shares are not tracked.
   }
 
   override settle(): void {
-    // Nobody's share is counted.
+    // Shares are not tracked.
   }
 
-  override ahead(): Backlog {
+  override backlogAhead(): Backlog {
     return {requests: this.waiting.size, outputTokens: this.outputTokens};
   }
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Pure decisions under load: admit, queue, refuse, place, shift. Nothing here
- * opens a socket, reads a clock or draws a random number of its own.
+ * Load decisions without I/O: admission, queueing, refusal, placement and
+ * shifting. Nothing here opens a socket, reads a clock or creates random
+ * numbers; the caller passes them in.
  */
 export * from './admission-policy.js';
 export * from './affinity-placement.js';
--- a/packages/decisions/src/indexed-heap.ts
+++ b/packages/decisions/src/indexed-heap.ts
@@ -1,7 +1,7 @@
 /**
  * A binary heap that can move and remove any of its items in logarithmic time.
- * Items are compared by identity; the lowest priority comes first, and equal
- * priorities come in the order in which they were set.
+ * Items are compared by identity. The lowest priority comes first, and equal
+ * priorities keep the order in which they were set.
  *
  * @example
  * ```ts
@@ -28,12 +28,12 @@
     return this.positions.has(item);
   }
 
-  /** The item that comes first, without taking it. */
+  /** Returns the first item without removing it. */
   peek(): Item | undefined {
     return this.entries[0]?.item;
   }
 
-  /** The lowest priority. */
+  /** Returns the lowest priority. */
   peekPriority(): number | undefined {
     return this.entries[0]?.priority;
   }
@@ -44,10 +44,10 @@
     const position = this.entries.length;
     this.entries.push({item, priority, order: this.nextOrder++});
     this.positions.set(item, position);
-    this.rise(position);
+    this.siftUp(position);
   }
 
-  /** Takes the item that comes first. */
+  /** Removes and returns the first item. */
   pop(): Item | undefined {
     const first = this.peek();
     if (first !== undefined) {
@@ -56,7 +56,11 @@
     return first;
   }
 
-  /** Takes out an item; false where it is not there. */
+  /**
+   * Removes an item.
+   *
+   * @returns False if the heap does not contain it.
+   */
   remove(item: Item): boolean {
     const position = this.positions.get(item);
     if (position === undefined) {
@@ -67,17 +71,17 @@
     this.entries.pop();
     this.positions.delete(item);
     if (position < last) {
-      this.rise(position);
-      this.sink(position);
+      this.siftUp(position);
+      this.siftDown(position);
     }
     return true;
   }
 
-  private rise(start: number): void {
+  private siftUp(start: number): void {
     let position = start;
     while (position > 0) {
       const parent = (position - 1) >> 1;
-      if (!this.before(position, parent)) {
+      if (!this.isBefore(position, parent)) {
         return;
       }
       this.swap(position, parent);
@@ -85,15 +89,15 @@
     }
   }
 
-  private sink(start: number): void {
+  private siftDown(start: number): void {
     let position = start;
     for (;;) {
       const left = 2 * position + 1;
       let smallest = position;
-      if (left < this.entries.length && this.before(left, smallest)) {
+      if (left < this.entries.length && this.isBefore(left, smallest)) {
         smallest = left;
       }
-      if (left + 1 < this.entries.length && this.before(left + 1, smallest)) {
+      if (left + 1 < this.entries.length && this.isBefore(left + 1, smallest)) {
         smallest = left + 1;
       }
       if (smallest === position) {
@@ -104,7 +108,7 @@
     }
   }
 
-  private before(left: number, right: number): boolean {
+  private isBefore(left: number, right: number): boolean {
     const first = this.entryAt(left);
     const second = this.entryAt(right);
     return first.priority === second.priority
--- a/packages/decisions/src/lane-directory.ts
+++ b/packages/decisions/src/lane-directory.ts
@@ -11,13 +11,13 @@
   return models.map(model => laneKey(description.service, model));
 }
 
-/** Which endpoints there are, and which lanes each of them serves. */
+/** Tracks the known endpoints and the lanes that each of them serves. */
 export class LaneDirectory {
   private readonly states = new Map<string, EndpointState>();
   private readonly lanes = new Map<string, Lane>();
   private readonly lanesByState = new Map<EndpointState, readonly Lane[]>();
 
-  /** Not on the list any more, but still at work. */
+  /** Endpoints that are no longer listed but still have work in progress. */
   private readonly unlisted = new Set<EndpointState>();
 
   constructor(private readonly createLane: () => Lane) {}
@@ -38,45 +38,48 @@
     return this.lanesByState.get(state) ?? [];
   }
 
-  /** Takes in what changed at an endpoint, in every lane that it serves. */
+  /** Updates every lane that the endpoint serves after a change to it. */
   refresh(state: EndpointState): void {
     for (const lane of this.lanesServedBy(state)) {
       lane.refresh(state);
     }
   }
 
-  /** Takes the whole list; endpoints not on it serve nothing any more. */
+  /**
+   * Applies the full list of endpoints; endpoints that are not listed serve no
+   * lane any more.
+   */
   update(endpoints: readonly EndpointDescription[]): void {
     const listed = new Set(endpoints.map(({endpoint}) => endpoint));
     for (const state of [...this.states.values()]) {
       if (!listed.has(state.endpoint)) {
-        this.drop(state);
+        this.unlist(state);
       }
     }
     for (const description of endpoints) {
-      this.describe(description);
+      this.applyDescription(description);
     }
   }
 
-  /** Work has ended at an endpoint. */
+  /** Updates an endpoint after a request there has ended. */
   release(state: EndpointState): void {
     this.refresh(state);
-    this.forgetIfDone(state);
+    this.removeIfIdle(state);
   }
 
   /**
-   * An endpoint with work in progress stays known when it vanishes from the
-   * list: if it is listed again, that work still takes its slots. Forgotten, it
-   * would get more work than it has slots.
+   * Removes an endpoint from its lanes. It stays known while it has work in
+   * progress: if it is listed again, that work still occupies its slots.
+   * Otherwise it would receive more work than it has slots.
    */
-  private drop(state: EndpointState): void {
+  private unlist(state: EndpointState): void {
     state.description = {...state.description, leaving: true};
     this.assign(state, []);
     this.unlisted.add(state);
-    this.forgetIfDone(state);
+    this.removeIfIdle(state);
   }
 
-  private forgetIfDone(state: EndpointState): void {
+  private removeIfIdle(state: EndpointState): void {
     if (this.unlisted.has(state) && state.ownInProgress === 0) {
       this.unlisted.delete(state);
       this.states.delete(state.endpoint);
@@ -84,7 +87,7 @@
     }
   }
 
-  private describe(description: EndpointDescription): void {
+  private applyDescription(description: EndpointDescription): void {
     const known = this.states.get(description.endpoint);
     const state = known ?? new EndpointState(description);
     state.description = description;
@@ -95,9 +98,9 @@
 
   private assign(state: EndpointState, keys: readonly string[]): void {
     const lanes = keys.map(key => this.laneFor(key));
-    for (const former of this.lanesServedBy(state)) {
-      if (!lanes.includes(former)) {
-        former.remove(state);
+    for (const previous of this.lanesServedBy(state)) {
+      if (!lanes.includes(previous)) {
+        previous.remove(state);
       }
     }
     this.lanesByState.set(state, lanes);
--- a/packages/decisions/src/lane.ts
+++ b/packages/decisions/src/lane.ts
@@ -10,85 +10,95 @@
 import {StandingQueue} from './standing-queue.js';
 import {WorkOutcome, type WorkItem, type WorkResult} from './work.js';
 
-/** Where a request goes. */
-export interface Choice {
+/** The endpoint chosen for a request. */
+export interface PlacementChoice {
   readonly state: EndpointState;
   readonly isProbe: boolean;
 }
 
 /**
- * At most this part of a lane's endpoints is shed at once. Load: everything is
- * slow. Harm: what is left gets slower still and is shed too.
+ * Maximum share of a lane's endpoints that is shed at once. When every endpoint
+ * is slow, shedding some would slow down the remaining ones until they are shed
+ * too.
  */
-const LARGEST_SHED_SHARE = 1 / 3;
+const MAXIMUM_SHED_SHARE = 1 / 3;
 
 /**
- * Everything about one service and model: the queue of its waiting requests, the
- * endpoints that serve it, and how long they take.
+ * State of one service and model: the queue of its waiting requests, the
+ * endpoints that serve it, and their timing.
  */
 export class Lane {
   readonly queue: QueuePolicy;
   readonly pools: EndpointPools;
   readonly placement: PlacementPolicy;
   private readonly timing = new ServiceTiming();
-  private readonly shed: ShedEndpoints;
-  private readonly standing: StandingQueue;
+  private readonly shedEndpoints: ShedEndpoints;
+  private readonly standingQueue: StandingQueue;
 
   constructor(
     private readonly policies: LoadPolicies,
     dataCenter: string,
-    tripMilliseconds: (dataCenter: string) => number,
+    roundTripMilliseconds: (dataCenter: string) => number,
   ) {
     this.queue = policies.createQueue();
     this.placement = policies.createPlacement();
     this.pools = new EndpointPools(
       policies.shift,
       dataCenter,
-      tripMilliseconds,
+      roundTripMilliseconds,
     );
-    this.shed = new ShedEndpoints(policies.shedding);
-    this.standing = new StandingQueue(this.queue);
+    this.shedEndpoints = new ShedEndpoints(policies.shedding);
+    this.standingQueue = new StandingQueue(this.queue);
   }
 
-  /** Takes in whatever changed at an endpoint of the lane. */
+  /** Updates the lane after a change to one of its endpoints. */
   refresh(state: EndpointState): void {
     if (state.leaving) {
-      this.shed.remove(state);
+      this.shedEndpoints.remove(state);
     }
-    this.pools.refresh(state, this.shed.has(state) ? 0 : state.usableSlots);
+    this.pools.refresh(
+      state,
+      this.shedEndpoints.has(state) ? 0 : state.usableSlots,
+    );
   }
 
-  /** The endpoint serves this lane no more. */
+  /** Removes an endpoint that no longer serves this lane. */
   remove(state: EndpointState): void {
     this.pools.remove(state);
-    this.shed.remove(state);
+    this.shedEndpoints.remove(state);
     this.placement.removed(state);
   }
 
-  /** Has to be called whenever work was queued or taken. */
+  /** Must be called whenever a request is queued or removed from the queue. */
   observeQueue(now: number): void {
-    this.standing.observe(now);
+    this.standingQueue.observe(now);
   }
 
-  /** True where the lane has an endpoint that is not leaving. */
+  /** True if the lane has an endpoint that is not leaving. */
   get isServed(): boolean {
-    return this.pools.slots > 0 || this.shed.size > 0;
+    return this.pools.slots > 0 || this.shedEndpoints.size > 0;
   }
 
-  /** What is expected of a request that joined the queue now. */
+  /**
+   * Estimates the wait and the time to first token of a request that is queued
+   * now.
+   */
   estimate(item: WorkItem, now: number): WaitEstimate {
     return {
       waitMilliseconds: this.waitMilliseconds(item, this.pools.slots),
       firstTokenMilliseconds: this.timing.firstTokenMilliseconds(
         item.promptTokens,
       ),
-      isOverloaded: this.standing.isOverloaded(item.workClass, now),
+      isOverloaded: this.standingQueue.isOverloaded(item.workClass, now),
     };
   }
 
-  /** How long the organisation's share takes to serve one such request. */
-  turnMilliseconds(item: WorkItem): number {
-    const {requests} = this.queue.ahead(item);
+  /**
+   * Returns the mean interval at which the organisation's share serves such a
+   * request, in milliseconds.
+   */
+  serviceIntervalMilliseconds(item: WorkItem): number {
+    const {requests} = this.queue.backlogAhead(item);
     const one = this.timing.serviceMilliseconds({
       requests: 1,
       outputTokens: item.maximumOutputTokens,
@@ -97,11 +107,13 @@
     return (one * others) / Math.max(1, this.pools.slots);
   }
 
-  /** The endpoint for the request that is next, or undefined where none is free. */
-  choose(item: WorkItem, now: number): Choice | undefined {
-    const probed = this.shed.dueProbe(item, now);
-    if (probed !== undefined) {
-      return {state: probed, isProbe: true};
+  /**
+   * Returns the endpoint for the next request, or undefined if none is free.
+   */
+  choose(item: WorkItem, now: number): PlacementChoice | undefined {
+    const endpointToProbe = this.shedEndpoints.dueProbe(item, now);
+    if (endpointToProbe !== undefined) {
+      return {state: endpointToProbe, isProbe: true};
     }
     const local = this.chooseFrom(this.pools.local, item, now);
     return local === undefined
@@ -110,13 +122,13 @@
   }
 
   /**
-   * An endpoint in another data centre, for a request that may not overtake
-   * those that wait here for a local one.
+   * Returns an endpoint in another data centre, for a request that may not
+   * overtake the requests queued for a local one.
    */
-  chooseRemote(item: WorkItem, now: number): Choice | undefined {
+  chooseRemote(item: WorkItem, now: number): PlacementChoice | undefined {
     const wait = this.waitMilliseconds(item, this.pools.local.slots);
-    for (const {tripMilliseconds, pool} of this.pools.remote) {
-      if (!this.policies.shift.isWorthTheTrip(wait, tripMilliseconds)) {
+    for (const {roundTripMilliseconds, pool} of this.pools.remote) {
+      if (!this.policies.shift.isShiftWorthwhile(wait, roundTripMilliseconds)) {
         return undefined;
       }
       const state = this.chooseFrom(pool, item, now);
@@ -127,18 +139,18 @@
     return undefined;
   }
 
-  /** A first token has come. */
+  /** Records the first token of a request. */
   firstToken(work: PlacedWork, now: number): void {
     const milliseconds = now - work.placedAt;
-    const ratio = this.ratioOf(work, now);
-    if (!this.shed.has(work.state)) {
+    const ratio = this.firstTokenRatio(work, now);
+    if (!this.shedEndpoints.has(work.state)) {
       this.timing.observeFirstToken(work.item.promptTokens, milliseconds);
     }
     work.state.health.observe(ratio, now);
-    this.judge(work, ratio, now);
+    this.evaluate(work, ratio, now);
   }
 
-  /** Placed work has ended, in whatever way. */
+  /** Records the end of a placed request, whatever its outcome. */
   ended(work: PlacedWork, result: WorkResult, now: number): void {
     this.queue.settle(work.item, result.promptTokens + result.outputTokens);
     switch (result.outcome) {
@@ -149,43 +161,43 @@
         this.failed(work, now);
         break;
       case WorkOutcome.Cancelled:
-        this.abandoned(work, now);
+        this.cancelled(work, now);
         break;
       case WorkOutcome.NotDispatched:
-        this.shed.abandonProbe(work);
+        this.shedEndpoints.abandonProbe(work);
         break;
     }
   }
 
-  /** An endpoint failed a request. */
+  /** Records a request that its endpoint failed. */
   private failed(work: PlacedWork, now: number): void {
     work.state.health.observeFailure(now);
-    this.judge(work, Infinity, now);
+    this.evaluate(work, Infinity, now);
   }
 
   /**
-   * A request ended before its answer did. Where its first token was overdue,
-   * that says as much of the endpoint as a late one.
+   * Records a request that ended before its answer was complete. If its first
+   * token was overdue, this counts like a late first token.
    */
-  private abandoned(work: PlacedWork, now: number): void {
+  private cancelled(work: PlacedWork, now: number): void {
     if (work.firstTokenAt !== undefined) {
       return;
     }
-    const ratio = this.ratioOf(work, now);
+    const ratio = this.firstTokenRatio(work, now);
     if (ratio > work.state.health.slowness) {
       work.state.health.observe(ratio, now);
-      this.judge(work, ratio, now);
+      this.evaluate(work, ratio, now);
     } else {
-      this.shed.abandonProbe(work);
+      this.shedEndpoints.abandonProbe(work);
     }
   }
 
-  /** A whole answer was read. */
+  /** Records a completely received answer. */
   private answered(work: PlacedWork, result: WorkResult, now: number): void {
     const {item, state, firstTokenAt = now} = work;
     const {outputTokens} = result;
     const milliseconds = now - firstTokenAt;
-    if (!this.shed.has(state)) {
+    if (!this.shedEndpoints.has(state)) {
       this.timing.observeAnswer(
         item.maximumOutputTokens,
         outputTokens,
@@ -194,17 +206,17 @@
       return;
     }
     const ratio = this.timing.answerRatio(outputTokens, milliseconds);
-    if (this.shed.observeAnswer(state, ratio, firstTokenAt)) {
+    if (this.shedEndpoints.observeAnswer(state, ratio, firstTokenAt)) {
       this.recover(state);
     }
   }
 
-  private regularChoice(state: EndpointState): Choice {
-    this.shed.countPlacement();
+  private regularChoice(state: EndpointState): PlacementChoice {
+    this.shedEndpoints.countPlacement();
     return {state, isProbe: false};
   }
 
-  /** Sheds whatever turns out to be overdue on the way. */
+  /** Sheds endpoints that turn out to be overdue during the choice. */
   private chooseFrom(
     pool: EndpointPool,
     item: WorkItem,
@@ -222,28 +234,32 @@
   }
 
   /**
-   * Whether free slots are kept from ordinary work. While work with precedence
-   * waits, the queue itself decides whose turn it is; and batch work gets its
-   * share even where interactive work that never waits fills the rest.
+   * Whether the free slots are reserved for work with precedence. While such
+   * work waits, the queue itself decides which request is next. Batch work
+   * receives its guaranteed share even if interactive work that never waits
+   * fills the remaining slots.
    */
   private isReserved(pool: EndpointPool, item: WorkItem): boolean {
     return (
       !this.queue.hasPrecedence(item) &&
-      !this.queue.precedenceWaits &&
-      !this.queue.owesBatch &&
-      !this.policies.admission.mayTakeOrdinary({
+      !this.queue.hasPrecedenceWaiting &&
+      !this.queue.isBatchStarved &&
+      !this.policies.admission.mayUseFreeSlot({
         free: pool.freeSlots,
         interactive: pool.interactive,
       })
     );
   }
 
-  /** Until the work ahead, and then one more request, have passed the slots. */
+  /**
+   * Returns the time until the backlog ahead and one more request have been
+   * served by the slots.
+   */
   private waitMilliseconds(item: WorkItem, slots: number): number {
     if (slots === 0) {
       return Infinity;
     }
-    const ahead = this.queue.ahead(item);
+    const ahead = this.queue.backlogAhead(item);
     const service = this.timing.serviceMilliseconds({
       requests: ahead.requests + 1,
       outputTokens: ahead.outputTokens + item.maximumOutputTokens,
@@ -251,42 +267,46 @@
     return service / slots;
   }
 
-  private judge(work: PlacedWork, ratio: number, now: number): void {
+  private evaluate(work: PlacedWork, ratio: number, now: number): void {
     const {state} = work;
-    if (!this.shed.has(state)) {
+    if (!this.shedEndpoints.has(state)) {
       this.shedIfSlow(state, now);
       return;
     }
-    if (work.isProbe && this.shed.observeProbe(state, ratio)) {
+    if (work.isProbe && this.shedEndpoints.observeProbe(state, ratio)) {
       this.recover(state);
     }
   }
 
   private recover(state: EndpointState): void {
-    this.shed.remove(state);
+    this.shedEndpoints.remove(state);
     state.health.reset();
     this.refresh(state);
   }
 
   private shedIfSlow(state: EndpointState, now: number): boolean {
-    const oldest = state.oldestAwaited;
-    const overdueRatio = oldest === undefined ? 0 : this.ratioOf(oldest, now);
-    const shedLimit = Math.ceil(LARGEST_SHED_SHARE * (this.pools.size - 1));
+    const oldest = state.oldestAwaitingFirstToken;
+    const overdueRatio =
+      oldest === undefined ? 0 : this.firstTokenRatio(oldest, now);
+    const shedLimit = Math.ceil(MAXIMUM_SHED_SHARE * (this.pools.size - 1));
     if (
-      this.shed.size + 1 > shedLimit ||
+      this.shedEndpoints.size + 1 > shedLimit ||
       !this.policies.shedding.isSlow(state, overdueRatio, now)
     ) {
       return false;
     }
-    this.shed.add(state, now);
+    this.shedEndpoints.add(state, now);
     this.refresh(state);
     return true;
   }
 
-  /** Time since the placement over the expected time to the first token. */
-  private ratioOf(work: PlacedWork, now: number): number {
+  /**
+   * Returns the time since the placement divided by the expected time to first
+   * token.
+   */
+  private firstTokenRatio(work: PlacedWork, now: number): number {
     const expected = this.timing.firstTokenMilliseconds(work.item.promptTokens);
-    return this.timing.isKnown
+    return this.timing.hasFirstTokenSample
       ? (now - work.placedAt) / Math.max(1, expected)
       : 1;
   }
--- a/packages/decisions/src/load-core-options.ts
+++ b/packages/decisions/src/load-core-options.ts
@@ -1,15 +1,18 @@
 import type {LoadPolicies} from './load-policies.js';
 
-/** What a core is made with. */
+/** Options of a `LoadCore`. */
 export interface LoadCoreOptions {
   /** The router's own data centre. */
   readonly dataCenter: string;
-  /** Requests that may wait, over all services. */
+  /** Maximum number of queued requests, over all services. */
   readonly maximumQueuedRequests: number;
-  /** Random numbers from 0 (included) to 1 (excluded). */
+  /** Returns random numbers in [0, 1). */
   readonly fraction: () => number;
-  /** Time to another data centre and back; without it, a default. */
+  /**
+   * Round-trip time to another data centre in milliseconds; a default applies
+   * if it is not set.
+   */
   readonly tripMilliseconds?: (dataCenter: string) => number;
-  /** Without them, the chosen ones. */
+  /** Defaults to `chosenPolicies`. */
   readonly policies?: LoadPolicies;
 }
--- a/packages/decisions/src/load-core.ts
+++ b/packages/decisions/src/load-core.ts
@@ -4,18 +4,21 @@
   EngineLoadReport,
 } from './endpoint-description.js';
 import type {PlacedWork} from './endpoint-state.js';
-import {Lane, type Choice} from './lane.js';
+import {Lane, type PlacementChoice} from './lane.js';
 import {LaneDirectory} from './lane-directory.js';
 import type {LoadCoreOptions} from './load-core-options.js';
 import {chosenPolicies, type LoadPolicies} from './load-policies.js';
 import {Refusals} from './refusals.js';
 import type {WaitEstimate} from './refusal-policy.js';
-import {serveWaiting} from './serve-waiting.js';
+import {placeWaitingRequests} from './serve-waiting.js';
 import {WaitingWork} from './waiting-work.js';
 import {WorkOutcome, type WorkItem, type WorkResult} from './work.js';
 
-/** Today's data centres are one to one and a half milliseconds apart one way. */
-const DEFAULT_TRIP_MILLISECONDS = 3;
+/**
+ * Default round-trip time between data centres, in milliseconds. They are
+ * currently 1 to 1.5 ms apart one way.
+ */
+const DEFAULT_ROUND_TRIP_MILLISECONDS = 3;
 
 interface Placement {
   readonly work: PlacedWork;
@@ -23,11 +26,11 @@
 }
 
 /**
- * All decisions of one router under load, without input or output: time is an
- * argument, randomness is handed in, and decisions are returned.
+ * All load decisions of one router, without I/O: time is passed as an argument,
+ * randomness is injected, and decisions are returned.
  *
- * Each request offered is in one of three states until it ends: queued, placed
- * at one endpoint, or refused for good.
+ * Until it ends, each offered request is in one of three states: queued, placed
+ * on one endpoint, or finally refused.
  *
  * @example
  * ```ts
@@ -49,29 +52,30 @@
 
   constructor(private readonly options: LoadCoreOptions) {
     const policies = options.policies ?? chosenPolicies(options.fraction);
-    const trip = options.tripMilliseconds ?? (() => DEFAULT_TRIP_MILLISECONDS);
+    const roundTripMilliseconds =
+      options.tripMilliseconds ?? (() => DEFAULT_ROUND_TRIP_MILLISECONDS);
     this.policies = policies;
     this.refusals = new Refusals(options.fraction);
     this.directory = new LaneDirectory(
-      () => new Lane(policies, options.dataCenter, trip),
+      () => new Lane(policies, options.dataCenter, roundTripMilliseconds),
     );
   }
 
-  /** Number of requests that wait. */
+  /** Number of queued requests. */
   get queuedRequests(): number {
     return this.waiting.size;
   }
 
-  /** Number of requests placed and not ended. */
+  /** Number of placed requests that have not ended. */
   get placedRequests(): number {
     return this.placed.size;
   }
 
   /**
-   * Takes the whole list of endpoints. One that is no longer listed gets no new
-   * work; its work in progress goes on undisturbed.
+   * Applies the full list of endpoints. An endpoint that is no longer listed
+   * receives no new work; its work in progress continues.
    *
-   * @returns Placements and refusals that follow.
+   * @returns The resulting placements and refusals.
    */
   updateEndpoints(
     endpoints: readonly EndpointDescription[],
@@ -89,7 +93,8 @@
   /**
    * Decides a new request.
    *
-   * @throws RangeError where the identifier is waiting or placed already.
+   * @throws RangeError if a request with this identifier is already queued or
+   * placed.
    * @example
    * ```ts
    * const decision = core.offer(item, clock.monotonicMilliseconds());
@@ -97,7 +102,7 @@
    * ```
    */
   offer(item: WorkItem, now: number): Decision {
-    this.assertNew(item.requestId);
+    this.assertNotOffered(item.requestId);
     const lane = this.directory.laneOf(item.service, item.model);
     if (lane?.isServed !== true) {
       return this.refusals.refuseWithoutEndpoint(item);
@@ -121,7 +126,7 @@
       : this.place(item, lane, choice, now);
   }
 
-  /** The first token of placed work has arrived. */
+  /** Records the first token of a placed request. */
   firstToken(requestId: string, now: number): void {
     const placement = this.placed.get(requestId);
     if (placement?.work.firstTokenAt !== undefined || !placement) {
@@ -133,9 +138,9 @@
   }
 
   /**
-   * Placed work has ended, in whatever way.
+   * Records the end of a placed request, whatever its outcome.
    *
-   * @returns Placements and refusals that follow from the free slot.
+   * @returns The placements and refusals that result from the free slot.
    */
   finished(
     requestId: string,
@@ -159,21 +164,22 @@
   }
 
   /**
-   * The caller gave up. Waiting work is forgotten; placed work stays counted
-   * until `finished`, since its endpoint still works on it.
+   * Withdraws a request that its caller cancelled. A queued request is removed;
+   * a placed request counts until `finished` is called, because its endpoint is
+   * still working on it.
    *
-   * @returns Placements and refusals that follow.
+   * @returns The resulting placements and refusals.
    */
   withdraw(requestId: string, now: number): readonly Decision[] {
-    this.waiting.take(requestId, now);
+    this.waiting.remove(requestId, now);
     return this.advance(now);
   }
 
-  /** Refuses waiting work whose time has run out. */
+  /** Refuses queued requests whose deadline has passed. */
   advance(now: number): readonly Decision[] {
     const decisions: Decision[] = [];
     for (;;) {
-      const expired = this.waiting.takeExpired(now);
+      const expired = this.waiting.removeExpired(now);
       if (expired === undefined) {
         return decisions;
       }
@@ -192,9 +198,9 @@
   }
 
   /**
-   * Takes an engine's lagging report.
+   * Applies an engine's lagging load report.
    *
-   * @returns Placements and refusals that follow.
+   * @returns The resulting placements and refusals.
    */
   report(
     endpoint: string,
@@ -218,12 +224,15 @@
     ];
   }
 
-  /** When `advance` has to be called next; undefined while nothing expires. */
+  /**
+   * Returns when `advance` must be called next, or undefined if no queued
+   * request expires.
+   */
   nextWakeAt(): number | undefined {
     return this.waiting.firstExpiry;
   }
 
-  private assertNew(requestId: string): void {
+  private assertNotOffered(requestId: string): void {
     if (this.placed.has(requestId) || this.waiting.has(requestId)) {
       throw new RangeError(`${requestId} was offered already`);
     }
@@ -235,9 +244,9 @@
     estimate: WaitEstimate,
     now: number,
   ): Decision {
-    const early = this.policies.refusal.refuse(item, estimate, now);
-    if (early !== undefined) {
-      const {reason, excessMilliseconds} = early;
+    const refusal = this.policies.refusal.refuse(item, estimate, now);
+    if (refusal !== undefined) {
+      const {reason, excessMilliseconds} = refusal;
       return this.refusals.refuse(item, lane, reason, excessMilliseconds, now);
     }
     const full = this.policies.admission.admitToQueue({
@@ -260,26 +269,29 @@
   }
 
   private placeWaiting(lanes: readonly Lane[], now: number): Decision[] {
-    return serveWaiting(lanes, now, (item, lane, choice) => {
-      this.waiting.take(item.requestId, now);
+    return placeWaitingRequests(lanes, now, (item, lane, choice) => {
+      this.waiting.remove(item.requestId, now);
       return this.place(item, lane, choice, now);
     });
   }
 
-  /** Nobody waits for endpoints that are all gone or leaving. */
+  /**
+   * Refuses the queued requests of a lane whose endpoints are all removed or
+   * leaving.
+   */
   private refuseUnserved(lane: Lane, now: number): Decision[] {
     if (lane.isServed) {
       return [];
     }
     return this.waiting
-      .takeAll(lane, now)
+      .removeAll(lane, now)
       .map(({item}) => this.refusals.refuseWithoutEndpoint(item));
   }
 
   private place(
     item: WorkItem,
     lane: Lane,
-    choice: Choice,
+    choice: PlacementChoice,
     now: number,
   ): Decision {
     const {state} = choice;
--- a/packages/decisions/src/load-policies.ts
+++ b/packages/decisions/src/load-policies.ts
@@ -13,22 +13,22 @@
 import {NeverShift, type ShiftPolicy} from './shift-policy.js';
 import {TripCostShift} from './trip-cost-shift.js';
 
-/** The policies that a core decides by. */
+/** The set of policies used by a `LoadCore`. */
 export interface LoadPolicies {
   readonly admission: AdmissionPolicy;
   readonly refusal: RefusalPolicy;
   readonly shift: ShiftPolicy;
   readonly shedding: SheddingPolicy;
-  /** Makes the queue of one service and model. */
+  /** Creates the queue of one service and model. */
   readonly createQueue: () => QueuePolicy;
-  /** Makes the placement of one service and model. */
+  /** Creates the placement policy of one service and model. */
   readonly createPlacement: () => PlacementPolicy;
 }
 
 /**
- * The policies that the measurements chose.
+ * Creates the policies that performed best in the measurements.
  *
- * @param fraction Random numbers from 0 (included) to 1 (excluded).
+ * @param fraction Returns random numbers in [0, 1).
  * @example
  * ```ts
  * const policies = chosenPolicies(() => random.fraction());
@@ -46,9 +46,9 @@
 }
 
 /**
- * The simple policies that the chosen ones are measured against.
+ * Creates the simple policies that serve as the baseline in measurements.
  *
- * @param fraction Random numbers from 0 (included) to 1 (excluded).
+ * @param fraction Returns random numbers in [0, 1).
  */
 export function baselinePolicies(fraction: () => number): LoadPolicies {
   return {
--- a/packages/decisions/src/organisation-accounts.ts
+++ b/packages/decisions/src/organisation-accounts.ts
@@ -1,23 +1,33 @@
 import {OrganisationAccount} from './organisation-flow.js';
 import type {WorkItem} from './work.js';
 
-/** Accounts that owe nothing are dropped whenever their number has doubled. */
+/**
+ * Number of accounts at which the first sweep runs. Later sweeps run each time
+ * the number has doubled, and remove accounts that have used no more than their
+ * share.
+ */
 const ACCOUNTS_BEFORE_FIRST_SWEEP = 64;
 
-/** The mean charge follows about the last hundred requests. */
-const SAMPLE_SHARE = 0.01;
+/**
+ * Smoothing factor of the mean charge, which covers about the last hundred
+ * requests.
+ */
+const SMOOTHING_FACTOR = 0.01;
 
-/** What a request may use, in tokens: charged when it gets a slot. */
-export function chargeOf(item: WorkItem): number {
+/**
+ * Maximum number of tokens that a request may use. This amount is charged when
+ * it gets a slot.
+ */
+export function maximumTokensOf(item: WorkItem): number {
   return item.promptTokens + item.maximumOutputTokens;
 }
 
 /**
- * Start-time fair queueing between organisations. Each has a virtual time until
- * which it has had its share; a request moves it on by tokens over weight, so
- * that shares hold by tokens and not by requests. An organisation that comes
- * back from idleness starts at the present virtual time: idleness earns no
- * credit, and use of idle capacity costs none.
+ * Start-time fair queueing between organisations. Each organisation has a
+ * virtual time up to which it has received its share. A request advances it by
+ * tokens over weight, so shares are by tokens and not by requests. An
+ * organisation that was idle restarts at the current virtual time: being idle
+ * earns no credit, and using idle capacity costs none.
  */
 export class OrganisationAccounts {
   private readonly accounts = new Map<string, OrganisationAccount>();
@@ -25,15 +35,15 @@
   private sweepAt = ACCOUNTS_BEFORE_FIRST_SWEEP;
   private meanStep = 0;
 
-  /** How far one request moves an organisation on, in the mean. */
+  /** Mean advance of an organisation's virtual time per request. */
   get meanRequestStep(): number {
     return this.meanStep;
   }
 
   of(item: WorkItem): OrganisationAccount {
-    const known = this.accounts.get(item.organisation);
-    if (known !== undefined) {
-      return known;
+    const existing = this.accounts.get(item.organisation);
+    if (existing !== undefined) {
+      return existing;
     }
     this.sweep();
     const account = new OrganisationAccount(item.organisation, item.weight);
@@ -42,7 +52,7 @@
     return account;
   }
 
-  /** An organisation of which nothing waited has work again. */
+  /** Marks an organisation that had no queued requests as waiting again. */
   activate(account: OrganisationAccount, weight: number): void {
     account.weight = weight;
     account.finishTag = Math.max(account.finishTag, this.virtualTime);
@@ -52,15 +62,15 @@
     this.virtualTime = Math.max(this.virtualTime, account.finishTag);
     const step = tokens / account.weight;
     account.finishTag += step;
-    this.meanStep += SAMPLE_SHARE * (step - this.meanStep);
+    this.meanStep += SMOOTHING_FACTOR * (step - this.meanStep);
   }
 
-  /** The charge was an upper bound: what was not used is given back. */
-  giveBack(account: OrganisationAccount, tokens: number): void {
+  /** Refunds the unused part of a charge, which is an upper bound. */
+  refund(account: OrganisationAccount, tokens: number): void {
     account.finishTag -= tokens / account.weight;
   }
 
-  /** Keeps memory in proportion to the organisations that are served. */
+  /** Keeps memory proportional to the number of organisations being served. */
   private sweep(): void {
     if (this.accounts.size < this.sweepAt) {
       return;
--- a/packages/decisions/src/organisation-flow.ts
+++ b/packages/decisions/src/organisation-flow.ts
@@ -1,8 +1,10 @@
 import type {Backlog, QueuedWork} from './queue-policy.js';
 
-/** What one organisation has had, whichever class of work it was. */
+/**
+ * The service that one organisation has received, over both classes of work.
+ */
 export class OrganisationAccount {
-  /** Virtual time until which the organisation has had its share. */
+  /** Virtual time up to which the organisation has received its share. */
   finishTag = 0;
 
   constructor(
@@ -11,7 +13,7 @@
   ) {}
 }
 
-/** The waiting requests of one organisation and class. */
+/** The queued requests of one organisation and class. */
 export class OrganisationFlow {
   private readonly waiting = new Map<string, QueuedWork>();
   private outputTokens = 0;
--- a/packages/decisions/src/placement-policy.ts
+++ b/packages/decisions/src/placement-policy.ts
@@ -6,25 +6,25 @@
 export abstract class PlacementPolicy {
   /**
    * @param pool Endpoints with a free slot; none of them is leaving or shed.
-   * @returns Undefined only where no endpoint has a free slot.
+   * @returns Undefined only if no endpoint has a free slot.
    */
   abstract choose(
     item: WorkItem,
     pool: EndpointPool,
   ): EndpointState | undefined;
 
-  /** A request was placed. */
+  /** Records the placement of a request. */
   abstract placed(item: WorkItem, state: EndpointState): void;
 
   /**
-   * An endpoint announced cached prefixes. Events come late and with gaps, so
-   * that what was not announced may be cached all the same.
+   * Records cached prefixes that an endpoint announced. Events arrive late and
+   * with gaps, so a prefix may be cached without having been announced.
    */
   abstract announced(
     state: EndpointState,
     prefixHashes: readonly string[],
   ): void;
 
-  /** An endpoint is gone. */
+  /** Records that an endpoint was removed. */
   abstract removed(state: EndpointState): void;
 }
--- a/packages/decisions/src/prefix-index.ts
+++ b/packages/decisions/src/prefix-index.ts
@@ -1,38 +1,40 @@
 import type {EndpointState} from './endpoint-state.js';
 
 /**
- * Prefixes remembered for each endpoint. Engines cache in limited memory and
- * announce no evictions, so a long memory would name prefixes that are gone;
- * forgetting the least recently used ones imitates what engines do.
+ * Maximum number of prefixes tracked per endpoint. Engines have limited cache
+ * memory and do not announce evictions, so a larger index would list prefixes
+ * that are no longer cached. Evicting the least recently used ones approximates
+ * the engines' behaviour.
  */
-const PREFIXES_PER_ENDPOINT = 2_048;
+const MAXIMUM_PREFIXES_PER_ENDPOINT = 2_048;
 
 /**
- * Holders remembered for each prefix, the first ones. A prompt that everybody
- * shares is held by every endpoint; looking at all of them for one that is free
- * would make a decision cost as much as there are endpoints.
+ * Maximum number of holders tracked per prefix; the first ones are kept. Every
+ * endpoint holds a prompt that all requests share, and searching all of them
+ * for a free one would make the cost of a decision proportional to the number
+ * of endpoints.
  */
-const HOLDERS_PER_PREFIX = 8;
+const MAXIMUM_HOLDERS_PER_PREFIX = 8;
 
 /**
- * Which endpoint has lately worked on which prompt prefix, from the router's own
- * placements (certain and immediate) and from the engines' events (late and with
- * gaps).
+ * Tracks which endpoints recently processed which prompt prefixes, from the
+ * router's own placements (certain and immediate) and from the engines' events
+ * (late and with gaps).
  */
 export class PrefixIndex {
-  private readonly holders = new Map<string, Set<EndpointState>>();
-  /** Least recently used first. */
-  private readonly prefixes = new Map<EndpointState, Set<string>>();
+  private readonly holdersByPrefix = new Map<string, Set<EndpointState>>();
+  /** Prefixes of each endpoint, least recently used first. */
+  private readonly prefixesByEndpoint = new Map<EndpointState, Set<string>>();
 
-  /** The endpoint that holds the longest prefix, among those acceptable. */
-  longestHolder(
+  /** Returns an acceptable endpoint that holds the longest prefix. */
+  holderOfLongestPrefix(
     prefixHashes: readonly string[],
-    accept: (state: EndpointState) => boolean,
+    isAcceptable: (state: EndpointState) => boolean,
   ): EndpointState | undefined {
     for (let index = prefixHashes.length - 1; index >= 0; index--) {
-      const holders = this.holders.get(prefixHashes[index] ?? '');
+      const holders = this.holdersByPrefix.get(prefixHashes[index] ?? '');
       for (const state of holders ?? []) {
-        if (accept(state)) {
+        if (isAcceptable(state)) {
           return state;
         }
       }
@@ -40,46 +42,49 @@
     return undefined;
   }
 
-  /** The endpoint holds these prefixes now. */
-  note(state: EndpointState, prefixHashes: readonly string[]): void {
-    const known = this.prefixes.get(state) ?? new Set<string>();
-    this.prefixes.set(state, known);
+  /** Records that the endpoint holds these prefixes now. */
+  addPrefixes(state: EndpointState, prefixHashes: readonly string[]): void {
+    const remembered = this.prefixesByEndpoint.get(state) ?? new Set<string>();
+    this.prefixesByEndpoint.set(state, remembered);
     for (const hash of prefixHashes) {
-      known.delete(hash);
-      known.add(hash);
+      remembered.delete(hash);
+      remembered.add(hash);
       this.addHolder(state, hash);
     }
-    for (const oldest of known) {
-      if (known.size <= PREFIXES_PER_ENDPOINT) {
+    for (const oldest of remembered) {
+      if (remembered.size <= MAXIMUM_PREFIXES_PER_ENDPOINT) {
         break;
       }
-      known.delete(oldest);
-      this.forgetHolder(state, oldest);
+      remembered.delete(oldest);
+      this.removeHolder(state, oldest);
     }
   }
 
-  /** The endpoint is gone. */
+  /** Removes an endpoint. */
   remove(state: EndpointState): void {
-    for (const hash of this.prefixes.get(state) ?? []) {
-      this.forgetHolder(state, hash);
+    for (const hash of this.prefixesByEndpoint.get(state) ?? []) {
+      this.removeHolder(state, hash);
     }
-    this.prefixes.delete(state);
+    this.prefixesByEndpoint.delete(state);
   }
 
-  /** The first holders stay the preferred ones, so that a prefix has a home. */
+  /**
+   * Keeps the first holders of a prefix, so that its requests continue to go to
+   * the same endpoints.
+   */
   private addHolder(state: EndpointState, hash: string): void {
-    const holders = this.holders.get(hash) ?? new Set<EndpointState>();
-    this.holders.set(hash, holders);
-    if (holders.size < HOLDERS_PER_PREFIX) {
+    const holders = this.holdersByPrefix.get(hash) ?? new Set<EndpointState>();
+    this.holdersByPrefix.set(hash, holders);
+    if (holders.size < MAXIMUM_HOLDERS_PER_PREFIX) {
       holders.add(state);
     }
   }
 
-  private forgetHolder(state: EndpointState, hash: string): void {
-    const holders = this.holders.get(hash);
+  private removeHolder(state: EndpointState, hash: string): void {
+    const holders = this.holdersByPrefix.get(hash);
     holders?.delete(state);
     if (holders?.size === 0) {
-      this.holders.delete(hash);
+      this.holdersByPrefix.delete(hash);
     }
   }
 }
--- a/packages/decisions/src/queue-policy.ts
+++ b/packages/decisions/src/queue-policy.ts
@@ -1,55 +1,76 @@
 import type {WorkClass, WorkItem} from './work.js';
 
-/** A request that waits, and since when. */
+/** A queued request, with the time at which it was queued. */
 export interface QueuedWork {
   readonly item: WorkItem;
   readonly queuedAt: number;
 }
 
-/** An amount of work, from which its time at an endpoint can be computed. */
+/** An amount of work, from which its processing time can be estimated. */
 export interface Backlog {
   readonly requests: number;
-  /** The sum of the most tokens they may generate. */
+  /** Sum of the maximum output tokens of the requests. */
   readonly outputTokens: number;
 }
 
 export const NO_BACKLOG: Backlog = {requests: 0, outputTokens: 0};
 
-/** The order in which the waiting requests of one lane get free slots. */
+/**
+ * Determines the order in which the queued requests of one lane get free slots.
+ */
 export abstract class QueuePolicy {
-  /** Number of requests that wait. */
+  /** Number of queued requests. */
   abstract readonly size: number;
 
-  /** True where work with precedence waits. */
-  abstract readonly precedenceWaits: boolean;
+  /** True while a request with precedence is queued. */
+  abstract readonly hasPrecedenceWaiting: boolean;
 
-  /** True where batch work waits that lately had less than its guaranteed share. */
-  abstract readonly owesBatch: boolean;
+  /**
+   * True while queued batch work has recently received less than its guaranteed
+   * share.
+   */
+  abstract readonly isBatchStarved: boolean;
 
-  /** Number of requests of a class that wait. */
+  /** Returns the number of queued requests of a class. */
   abstract sizeOf(workClass: WorkClass): number;
 
-  /** Whether the request goes before ordinary work that waits. */
+  /**
+   * Whether the request is served before queued requests without precedence.
+   */
   abstract hasPrecedence(item: WorkItem): boolean;
 
-  /** Whether a newcomer may take a free slot past those that wait. */
+  /**
+   * Whether a new request may take a free slot ahead of the queued requests.
+   */
   abstract mayOvertake(item: WorkItem): boolean;
 
   /** Adds a request. */
   abstract push(work: QueuedWork): void;
 
-  /** The request that is next, without taking it. */
+  /** Returns the next request without removing it. */
   abstract peek(): QueuedWork | undefined;
 
-  /** Takes out a request wherever it stands; false where it does not wait. */
+  /**
+   * Removes a request from any position.
+   *
+   * @returns False if the request is not queued.
+   */
   abstract remove(requestId: string): boolean;
 
-  /** A request got a slot; its organisation is charged what it may use. */
+  /**
+   * Charges the organisation of a request that got a slot for the maximum that
+   * the request may use.
+   */
   abstract charge(item: WorkItem): void;
 
-  /** A charged request has ended and used so many tokens. */
+  /**
+   * Settles the charge of a request that has ended with the tokens that it
+   * used.
+   */
   abstract settle(item: WorkItem, usedTokens: number): void;
 
-  /** What would run before the request if it were added now. */
-  abstract ahead(item: WorkItem): Backlog;
+  /**
+   * Returns the work that would run before the request if it were added now.
+   */
+  abstract backlogAhead(item: WorkItem): Backlog;
 }
--- a/packages/decisions/src/random-placement.ts
+++ b/packages/decisions/src/random-placement.ts
@@ -3,9 +3,9 @@
 import {PlacementPolicy} from './placement-policy.js';
 import type {WorkItem} from './work.js';
 
-/** Any endpoint with a free slot: the baseline. */
+/** Baseline policy: any endpoint with a free slot. */
 export class RandomPlacement extends PlacementPolicy {
-  /** @param fraction Random numbers from 0 (included) to 1 (excluded). */
+  /** @param fraction Returns random numbers in [0, 1). */
   constructor(private readonly fraction: () => number) {
     super();
   }
@@ -18,14 +18,14 @@
   }
 
   override placed(): void {
-    // Nothing is learnt.
+    // Random placement has no state.
   }
 
   override announced(): void {
-    // Nothing is learnt.
+    // Random placement has no state.
   }
 
   override removed(): void {
-    // Nothing is learnt.
+    // Random placement has no state.
   }
 }
--- a/packages/decisions/src/refusal-policy.ts
+++ b/packages/decisions/src/refusal-policy.ts
@@ -1,26 +1,26 @@
 import type {RefusalReason} from './decision.js';
 import type {WorkItem} from './work.js';
 
-/** What is expected of a request if it joined its queue now. */
+/** Estimates for a request that is queued now. */
 export interface WaitEstimate {
-  /** Until it gets a slot. */
+  /** Time until it gets a slot. */
   readonly waitMilliseconds: number;
-  /** From the slot to its first token. */
+  /** Time from getting a slot to its first token. */
   readonly firstTokenMilliseconds: number;
-  /** True while a queue of its class has been standing. */
+  /** True while the queue of its class is standing. */
   readonly isOverloaded: boolean;
 }
 
-/** A refusal before the work has waited. */
+/** A refusal before the request is queued. */
 export interface EarlyRefusal {
   readonly reason: RefusalReason;
   /** By how much the expected wait is too long. */
   readonly excessMilliseconds: number;
 }
 
-/** Decides whether a request that finds no free slot may wait. */
+/** Decides whether a request that finds no free slot may be queued. */
 export abstract class RefusalPolicy {
-  /** @returns Undefined where the request may wait. */
+  /** @returns Undefined if the request may be queued. */
   abstract refuse(
     item: WorkItem,
     estimate: WaitEstimate,
@@ -28,14 +28,14 @@
   ): EarlyRefusal | undefined;
 
   /**
-   * When waiting work that has not been placed is refused.
+   * Returns when a queued request that has not been placed is refused.
    *
-   * @returns Infinity where it waits until it is withdrawn.
+   * @returns Infinity if it stays queued until it is withdrawn.
    */
   abstract refuseAt(item: WorkItem, estimate: WaitEstimate): number;
 }
 
-/** Nothing is refused for its expected wait: the baseline. */
+/** Baseline policy: never refuses a request because of its expected wait. */
 export class NeverRefuse extends RefusalPolicy {
   override refuse(): undefined {
     return undefined;
--- a/packages/decisions/src/refusals.ts
+++ b/packages/decisions/src/refusals.ts
@@ -3,16 +3,16 @@
 import {ReturnSchedule} from './return-schedule.js';
 import type {WorkItem} from './work.js';
 
-/** A changed list of endpoints takes about this long to reach a router. */
-const NO_ENDPOINT_RETURN_MILLISECONDS = 1_000;
+/** Approximate time for a changed list of endpoints to reach a router. */
+const NO_ENDPOINT_RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** Words refusals, each with a computed time to return. */
+/** Creates refusals with a computed time to retry after. */
 export class Refusals {
-  private readonly returns: ReturnSchedule;
+  private readonly returnSchedule: ReturnSchedule;
 
-  /** @param fraction Random numbers from 0 (included) to 1 (excluded). */
+  /** @param fraction Returns random numbers in [0, 1). */
   constructor(fraction: () => number) {
-    this.returns = new ReturnSchedule(fraction);
+    this.returnSchedule = new ReturnSchedule(fraction);
   }
 
   /** @param excessMilliseconds By how much the expected wait is too long. */
@@ -23,10 +23,10 @@
     excessMilliseconds: number,
     now: number,
   ): RefuseDecision {
-    const retryAfterMilliseconds = this.returns.book(
+    const retryAfterMilliseconds = this.returnSchedule.schedule(
       item.organisation,
       excessMilliseconds,
-      lane.turnMilliseconds(item),
+      lane.serviceIntervalMilliseconds(item),
       now,
     );
     return {
@@ -37,13 +37,13 @@
     };
   }
 
-  /** No endpoint serves it. */
+  /** Creates the refusal of a request whose lane has no usable endpoint. */
   refuseWithoutEndpoint(item: WorkItem): RefuseDecision {
     return {
       kind: DecisionKind.Refuse,
       requestId: item.requestId,
       reason: RefusalReason.NoEndpoint,
-      retryAfterMilliseconds: NO_ENDPOINT_RETURN_MILLISECONDS,
+      retryAfterMilliseconds: NO_ENDPOINT_RETRY_AFTER_MILLISECONDS,
     };
   }
 }
--- a/packages/decisions/src/return-schedule.ts
+++ b/packages/decisions/src/return-schedule.ts
@@ -1,61 +1,67 @@
-/** Nobody is sent away for longer than this. */
-const LONGEST_RETURN_MILLISECONDS = 30_000;
-/** Nobody is asked back sooner than this. */
-const SHORTEST_RETURN_MILLISECONDS = 100;
-/** Organisations remembered; the one longest unseen is forgotten. */
-const REMEMBERED_ORGANISATIONS = 4_096;
-/** Returns are spread by up to this part of their delay. */
-const SPREAD = 0.2;
+/** Maximum delay before a retry, in milliseconds. */
+const MAXIMUM_RETRY_AFTER_MILLISECONDS = 30_000;
+/** Minimum delay before a retry, in milliseconds. */
+const MINIMUM_RETRY_AFTER_MILLISECONDS = 100;
+/**
+ * Maximum number of organisations tracked; the least recently seen one is
+ * evicted.
+ */
+const MAXIMUM_TRACKED_ORGANISATIONS = 4_096;
+/** Random jitter added to a delay, as a share of it. */
+const JITTER_SHARE = 0.2;
 
 /**
- * Computes when refused callers should come back. Load: an organisation offers
- * more than its share and obeys what it is told. Harm: told the same time, all
- * its refused callers return together and most are refused again. Each refusal
- * therefore books the next free moment at the rate at which the organisation is
- * being served (a leaky bucket), at most half a minute ahead.
+ * Computes when refused callers should retry. If an organisation that exceeds
+ * its share were given the same time for all its refusals, its callers would
+ * return together and most would be refused again. Each refusal therefore
+ * reserves the next free time at the rate at which the organisation is served
+ * (a leaky bucket), at most half a minute ahead.
  */
 export class ReturnSchedule {
-  private readonly bookedUntil = new Map<string, number>();
+  private readonly scheduledUntil = new Map<string, number>();
 
-  /** @param fraction Random numbers from 0 (included) to 1 (excluded). */
+  /** @param fraction Returns random numbers in [0, 1). */
   constructor(private readonly fraction: () => number) {}
 
   /**
-   * Books a return.
+   * Reserves a time for a retry.
    *
-   * @param excessMilliseconds By how much the wait is too long now.
-   * @param turnMilliseconds How long the organisation's share takes to serve
-   *     one such request.
-   * @returns Milliseconds after which the caller should come back.
+   * @param excessMilliseconds By how much the expected wait is too long now.
+   * @param serviceIntervalMilliseconds Mean interval at which the
+   *     organisation's share serves such a request.
+   * @returns Milliseconds after which the caller should retry.
    */
-  book(
+  schedule(
     organisation: string,
     excessMilliseconds: number,
-    turnMilliseconds: number,
+    serviceIntervalMilliseconds: number,
     now: number,
   ): number {
     const earliest = now + excessMilliseconds;
-    const booked = Math.max(
+    const scheduled = Math.max(
       earliest,
-      this.bookedUntil.get(organisation) ?? earliest,
+      this.scheduledUntil.get(organisation) ?? earliest,
+    );
+    const latest = now + MAXIMUM_RETRY_AFTER_MILLISECONDS;
+    this.storeScheduledUntil(
+      organisation,
+      Math.min(latest, scheduled + serviceIntervalMilliseconds),
     );
-    const latest = now + LONGEST_RETURN_MILLISECONDS;
-    this.remember(organisation, Math.min(latest, booked + turnMilliseconds));
-    const delay = (booked - now) * (1 + SPREAD * this.fraction());
+    const delay = (scheduled - now) * (1 + JITTER_SHARE * this.fraction());
     return Math.ceil(
       Math.min(
-        LONGEST_RETURN_MILLISECONDS,
-        Math.max(SHORTEST_RETURN_MILLISECONDS, delay),
+        MAXIMUM_RETRY_AFTER_MILLISECONDS,
+        Math.max(MINIMUM_RETRY_AFTER_MILLISECONDS, delay),
       ),
     );
   }
 
-  private remember(organisation: string, until: number): void {
-    this.bookedUntil.delete(organisation);
-    this.bookedUntil.set(organisation, until);
-    if (this.bookedUntil.size > REMEMBERED_ORGANISATIONS) {
-      for (const oldest of this.bookedUntil.keys()) {
-        this.bookedUntil.delete(oldest);
+  private storeScheduledUntil(organisation: string, until: number): void {
+    this.scheduledUntil.delete(organisation);
+    this.scheduledUntil.set(organisation, until);
+    if (this.scheduledUntil.size > MAXIMUM_TRACKED_ORGANISATIONS) {
+      for (const oldest of this.scheduledUntil.keys()) {
+        this.scheduledUntil.delete(oldest);
         break;
       }
     }
--- a/packages/decisions/src/serve-waiting.ts
+++ b/packages/decisions/src/serve-waiting.ts
@@ -1,9 +1,9 @@
 import type {Decision} from './decision.js';
-import type {Choice, Lane} from './lane.js';
+import type {PlacementChoice, Lane} from './lane.js';
 import type {QueuedWork} from './queue-policy.js';
 import {WorkClass, type WorkItem} from './work.js';
 
-function comesBefore(left: QueuedWork, right: QueuedWork): boolean {
+function isBefore(left: QueuedWork, right: QueuedWork): boolean {
   if (left.item.workClass !== right.item.workClass) {
     return left.item.workClass === WorkClass.Interactive;
   }
@@ -11,9 +11,9 @@
 }
 
 /**
- * The lane whose next request comes first, where several models share an
- * endpoint: interactive before batch, then the one that has waited longest.
- * Undefined where nothing waits.
+ * Returns the lane whose next request comes first, if several models share an
+ * endpoint: interactive before batch, then the longest wait. Undefined if no
+ * request is queued.
  */
 function nextLane(lanes: readonly Lane[]): Lane | undefined {
   let first: Lane | undefined;
@@ -22,7 +22,7 @@
     const work = lane.queue.peek();
     if (
       work !== undefined &&
-      (firstWork === undefined || comesBefore(work, firstWork))
+      (firstWork === undefined || isBefore(work, firstWork))
     ) {
       first = lane;
       firstWork = work;
@@ -32,27 +32,27 @@
 }
 
 /**
- * Gives free slots to those that wait, in the order of their queues, until no
- * lane can place its next request.
+ * Assigns free slots to queued requests in queue order, until no lane can place
+ * its next request.
  *
- * @param place Takes the request out of its queue and places it.
+ * @param place Removes the request from its queue and places it.
  */
-export function serveWaiting(
+export function placeWaitingRequests(
   lanes: readonly Lane[],
   now: number,
-  place: (item: WorkItem, lane: Lane, choice: Choice) => Decision,
+  place: (item: WorkItem, lane: Lane, choice: PlacementChoice) => Decision,
 ): Decision[] {
   const decisions: Decision[] = [];
-  let open = lanes;
+  let openLanes = lanes;
   for (;;) {
-    const lane = nextLane(open);
+    const lane = nextLane(openLanes);
     const next = lane?.queue.peek();
     if (lane === undefined || next === undefined) {
       return decisions;
     }
     const choice = lane.choose(next.item, now);
     if (choice === undefined) {
-      open = open.filter(other => other !== lane);
+      openLanes = openLanes.filter(other => other !== lane);
     } else {
       decisions.push(place(next.item, lane, choice));
     }
--- a/packages/decisions/src/service-timing.ts
+++ b/packages/decisions/src/service-timing.ts
@@ -1,22 +1,28 @@
 import type {Backlog} from './queue-policy.js';
 
-/** Each new sample counts so much; about the last hundred matter. */
-const SAMPLE_SHARE = 0.02;
+/**
+ * Smoothing factor of a new sample; the mean covers about the last hundred
+ * samples.
+ */
+const SMOOTHING_FACTOR = 0.02;
 
 /**
- * A sample counts at most as so many times the expectation, so that one slow
- * endpoint does not move what is expected of all.
+ * Maximum ratio of a sample to its expected value, so that one slow endpoint
+ * does not change the expectation for all of them.
  */
-const HIGHEST_SAMPLE_RATIO = 3;
+const MAXIMUM_SAMPLE_RATIO = 3;
 
-/** Prompts must vary by so many tokens before their effect is believed. */
-const LOWEST_PROMPT_DEVIATION = 16;
+/**
+ * Minimum standard deviation of prompt lengths, in tokens, for their effect on
+ * the time to first token to be used.
+ */
+const MINIMUM_PROMPT_DEVIATION_TOKENS = 16;
 
 /**
- * What one lane's endpoints have taken lately: the time to the first token as a
- * line over the prompt's length, the time of each further token, and how much
- * of the permitted output is used. Exponentially forgetting means; nothing is
- * expected before the first sample.
+ * Recent timing of one lane's endpoints: the time to first token as a linear
+ * function of the prompt length, the time per further token, and the used share
+ * of the permitted output. All are exponentially weighted moving averages. The
+ * expected times are 0 before the first sample.
  */
 export class ServiceTiming {
   private samples = 0;
@@ -28,22 +34,22 @@
   private usedOutputShare = 1;
   private hasTokenSample = false;
 
-  /** True once a first token has been seen. */
-  get isKnown(): boolean {
+  /** True after the first sample of a time to first token. */
+  get hasFirstTokenSample(): boolean {
     return this.samples > 0;
   }
 
   /** Expected time from placement to the first token, in milliseconds. */
   firstTokenMilliseconds(promptTokens: number): number {
-    if (this.promptVariance < LOWEST_PROMPT_DEVIATION ** 2) {
+    if (this.promptVariance < MINIMUM_PROMPT_DEVIATION_TOKENS ** 2) {
       return this.meanFirstToken;
     }
     const slope = Math.max(0, this.covariance / this.promptVariance);
     const line = this.meanFirstToken + slope * (promptTokens - this.meanPrompt);
-    return Math.max(line, this.meanFirstToken / HIGHEST_SAMPLE_RATIO);
+    return Math.max(line, this.meanFirstToken / MAXIMUM_SAMPLE_RATIO);
   }
 
-  /** Expected time that an amount of work holds slots, in milliseconds. */
+  /** Expected slot time of an amount of work, in milliseconds. */
   serviceMilliseconds(work: Backlog): number {
     return (
       work.requests * this.meanFirstToken +
@@ -51,14 +57,14 @@
     );
   }
 
-  /** Learns a time to first token. */
+  /** Records a time to first token. */
   observeFirstToken(promptTokens: number, milliseconds: number): void {
-    const expected = this.isKnown
+    const expected = this.hasFirstTokenSample
       ? this.firstTokenMilliseconds(promptTokens)
       : milliseconds;
-    const sample = Math.min(milliseconds, expected * HIGHEST_SAMPLE_RATIO);
+    const sample = Math.min(milliseconds, expected * MAXIMUM_SAMPLE_RATIO);
     this.samples++;
-    const share = Math.max(SAMPLE_SHARE, 1 / this.samples);
+    const share = Math.max(SMOOTHING_FACTOR, 1 / this.samples);
     const promptDifference = promptTokens - this.meanPrompt;
     this.meanPrompt += share * promptDifference;
     this.meanFirstToken += share * (sample - this.meanFirstToken);
@@ -71,13 +77,13 @@
       (promptDifference * (sample - this.meanFirstToken) - this.covariance);
   }
 
-  /** How long an answer's tokens took, over what was expected. */
+  /** Returns the ratio of an answer's generation time to the expected one. */
   answerRatio(outputTokens: number, milliseconds: number): number {
     const expected = outputTokens * this.tokenMilliseconds;
     return expected > 0 ? milliseconds / expected : Infinity;
   }
 
-  /** Learns from a whole answer. */
+  /** Records a complete answer. */
   observeAnswer(
     maximumOutputTokens: number,
     outputTokens: number,
@@ -88,9 +94,9 @@
     }
     const perToken = millisecondsAfterFirstToken / outputTokens;
     const used = Math.min(1, outputTokens / maximumOutputTokens);
-    const share = this.hasTokenSample ? SAMPLE_SHARE : 1;
+    const share = this.hasTokenSample ? SMOOTHING_FACTOR : 1;
     const highest = this.hasTokenSample
-      ? this.tokenMilliseconds * HIGHEST_SAMPLE_RATIO
+      ? this.tokenMilliseconds * MAXIMUM_SAMPLE_RATIO
       : perToken;
     this.hasTokenSample = true;
     this.tokenMilliseconds +=
--- a/packages/decisions/src/shed-endpoints.ts
+++ b/packages/decisions/src/shed-endpoints.ts
@@ -2,17 +2,23 @@
 import type {SheddingPolicy} from './shedding-policy.js';
 import {WorkClass, type WorkItem} from './work.js';
 
-/** Probes that must go well, one after the other, before work returns. */
+/**
+ * Number of consecutive successful probes before an endpoint receives work
+ * again.
+ */
 const GOOD_PROBES_TO_RECOVER = 2;
 
 /**
- * Interactive work probes at most once in so many placements: even if every
- * probe is late, p99 to first token does not show it.
+ * Minimum number of placements per interactive request used as a probe. Even if
+ * every probe is late, p99 time to first token is not affected.
  */
 const PLACEMENTS_PER_INTERACTIVE_PROBE = 500;
 
-/** With little work, an interactive probe may go after this long all the same. */
-const LONGEST_WITHOUT_PROBE_MILLISECONDS = 60_000;
+/**
+ * With little load, an interactive request may be used as a probe after this
+ * time anyway, in milliseconds.
+ */
+const MAXIMUM_PROBE_GAP_MILLISECONDS = 60_000;
 
 interface ShedEndpoint {
   readonly shedAt: number;
@@ -22,7 +28,10 @@
   lastProbeAt: number;
 }
 
-/** The endpoints of one lane that are shed as slow, and when each is probed. */
+/**
+ * Tracks the endpoints of one lane that are shed as slow, and when each is
+ * probed.
+ */
 export class ShedEndpoints {
   private readonly shed = new Map<EndpointState, ShedEndpoint>();
   private placementsSinceProbe = 0;
@@ -51,12 +60,15 @@
     this.shed.delete(state);
   }
 
-  /** A request was placed at a healthy endpoint. */
+  /** Records a placement on a healthy endpoint. */
   countPlacement(): void {
     this.placementsSinceProbe++;
   }
 
-  /** The shed endpoint that this request should probe, if any is due. */
+  /**
+   * Returns the shed endpoint that this request should probe, if a probe is
+   * due.
+   */
   dueProbe(item: WorkItem, now: number): EndpointState | undefined {
     for (const [state, entry] of this.shed) {
       if (this.isDue(state, entry, item, now)) {
@@ -70,9 +82,9 @@
   }
 
   /**
-   * A probe's first token came, or the probe failed.
+   * Records the first token or the failure of a probe.
    *
-   * @returns True where the endpoint has recovered.
+   * @returns True if the endpoint has recovered.
    */
   observeProbe(state: EndpointState, ratio: number): boolean {
     const entry = this.shed.get(state);
@@ -81,7 +93,7 @@
     }
     entry.isProbing = false;
     if (this.policy.isGoodProbe(ratio)) {
-      return this.countGood(entry);
+      return this.countGoodProbe(entry);
     }
     entry.goodProbes = 0;
     entry.failedProbes++;
@@ -89,11 +101,12 @@
   }
 
   /**
-   * Work that was there when the endpoint was shed has ended. How fast its
-   * tokens came does not depend on the prompts beside it, so it soon clears an
-   * endpoint that was shed by mistake. Only tokens since it was shed count.
+   * Records the end of a request that was in progress when the endpoint was
+   * shed. Its token rate does not depend on the prompts beside it, so an
+   * endpoint that was shed by mistake recovers soon. Only tokens generated
+   * since the endpoint was shed count.
    *
-   * @returns True where the endpoint has recovered.
+   * @returns True if the endpoint has recovered.
    */
   observeAnswer(
     state: EndpointState,
@@ -105,11 +118,14 @@
       entry !== undefined &&
       firstTokenAt >= entry.shedAt &&
       this.policy.isGoodProbe(ratio) &&
-      this.countGood(entry)
+      this.countGoodProbe(entry)
     );
   }
 
-  /** Work ended without telling anything of its endpoint's speed. */
+  /**
+   * Records the end of a request that is not conclusive about its endpoint's
+   * speed.
+   */
   abandonProbe(work: PlacedWork): void {
     const entry = this.shed.get(work.state);
     if (entry !== undefined && work.isProbe) {
@@ -117,7 +133,7 @@
     }
   }
 
-  private countGood(entry: ShedEndpoint): boolean {
+  private countGoodProbe(entry: ShedEndpoint): boolean {
     entry.goodProbes++;
     return entry.goodProbes >= GOOD_PROBES_TO_RECOVER;
   }
@@ -141,7 +157,7 @@
     return (
       item.workClass === WorkClass.Batch ||
       this.placementsSinceProbe >= PLACEMENTS_PER_INTERACTIVE_PROBE ||
-      sinceProbe >= LONGEST_WITHOUT_PROBE_MILLISECONDS
+      sinceProbe >= MAXIMUM_PROBE_GAP_MILLISECONDS
     );
   }
 }
--- a/packages/decisions/src/shed-slow-endpoints.ts
+++ b/packages/decisions/src/shed-slow-endpoints.ts
@@ -2,23 +2,29 @@
 import {SheddingPolicy} from './shedding-policy.js';
 
 /**
- * First tokens this many times slower than the lane's shed an endpoint. Batches
- * of different lengths differ by less than twice; an endpoint three times slower
- * serves a third, and costs each caller that meets it more than a refusal.
+ * An endpoint is shed if its first tokens are this many times slower than the
+ * lane's. Differences in batch length account for less than a factor of two. An
+ * endpoint that is three times slower serves a third of the requests, and costs
+ * each caller placed on it more than a refusal would.
  */
 const SLOW_RATIO = 3;
-/** A probe within this many times the expected time went well. */
+/**
+ * A probe is successful if it takes at most this many times the expected time.
+ */
 const RECOVERED_RATIO = 2;
-/** The first probe goes after this long. */
-const FIRST_PROBE_MILLISECONDS = 2_000;
-/** Each probe that went badly doubles the interval, up to this. */
-const LONGEST_PROBE_MILLISECONDS = 32_000;
+/** Interval before the first probe, in milliseconds. */
+const FIRST_PROBE_INTERVAL_MILLISECONDS = 2_000;
+/**
+ * Maximum interval between probes, in milliseconds; each failed probe doubles
+ * the interval.
+ */
+const MAXIMUM_PROBE_INTERVAL_MILLISECONDS = 32_000;
 
 /**
- * Sheds an endpoint whose first tokens are slow or overdue, and probes it ever
- * more rarely. Load: one endpoint of several is ten times slower. Harm: as many
- * callers as reach it wait ten times longer, and since its slots empty slowly it
- * keeps them waiting.
+ * Sheds endpoints whose first tokens are slow or overdue, and probes them with
+ * exponential backoff. When one of several endpoints is ten times slower, every
+ * caller placed on it waits ten times longer, and because its slots are
+ * released slowly, they stay occupied by waiting callers.
  */
 export class ShedSlowEndpoints extends SheddingPolicy {
   override isSlow(
@@ -31,8 +37,8 @@
 
   override probeIntervalMilliseconds(failedProbes: number): number {
     return Math.min(
-      LONGEST_PROBE_MILLISECONDS,
-      FIRST_PROBE_MILLISECONDS * 2 ** failedProbes,
+      MAXIMUM_PROBE_INTERVAL_MILLISECONDS,
+      FIRST_PROBE_INTERVAL_MILLISECONDS * 2 ** failedProbes,
     );
   }
 
--- a/packages/decisions/src/shedding-policy.ts
+++ b/packages/decisions/src/shedding-policy.ts
@@ -1,10 +1,10 @@
 import type {EndpointState} from './endpoint-state.js';
 
-/** Decides which endpoints are too slow to get work. */
+/** Decides which endpoints are too slow to receive work. */
 export abstract class SheddingPolicy {
   /**
-   * @param overdueRatio Age of the oldest request that awaits its first token,
-   *     over the expected time.
+   * @param overdueRatio Age of the oldest request without a first token,
+   *     divided by the expected time to first token.
    */
   abstract isSlow(
     state: EndpointState,
@@ -12,14 +12,14 @@
     now: number,
   ): boolean;
 
-  /** How long after the last probe the next may go, in milliseconds. */
+  /** Returns the minimum interval between two probes, in milliseconds. */
   abstract probeIntervalMilliseconds(failedProbes: number): number;
 
-  /** True where a probe's first token came fast enough. */
+  /** Whether the first token of a probe arrived fast enough. */
   abstract isGoodProbe(ratio: number): boolean;
 }
 
-/** Every endpoint gets work: the baseline. */
+/** Baseline policy: never sheds an endpoint. */
 export class NeverShed extends SheddingPolicy {
   override isSlow(): boolean {
     return false;
--- a/packages/decisions/src/shift-policy.ts
+++ b/packages/decisions/src/shift-policy.ts
@@ -1,22 +1,22 @@
-/** Decides whether work may go to another data centre. */
+/** Decides whether requests may be placed in another data centre. */
 export abstract class ShiftPolicy {
   /**
-   * @param localWaitMilliseconds Expected wait for a slot in the own data
-   *     centre; Infinity where it has no endpoint.
-   * @param tripMilliseconds There and back.
+   * @param localWaitMilliseconds Expected wait for a slot in the router's own
+   *     data centre; Infinity if it has no endpoint.
+   * @param roundTripMilliseconds Round-trip time to the other data centre.
    */
-  abstract isWorthTheTrip(
+  abstract isShiftWorthwhile(
     localWaitMilliseconds: number,
-    tripMilliseconds: number,
+    roundTripMilliseconds: number,
   ): boolean;
 
-  /** How many of a remote endpoint's slots this router may fill. */
+  /** Returns how many of a remote endpoint's slots this router may use. */
   abstract remoteSlots(usableSlots: number): number;
 }
 
-/** Work stays in its data centre: the baseline. */
+/** Baseline policy: requests stay in their data centre. */
 export class NeverShift extends ShiftPolicy {
-  override isWorthTheTrip(): boolean {
+  override isShiftWorthwhile(): boolean {
     return false;
   }
 
--- a/packages/decisions/src/standing-queue.ts
+++ b/packages/decisions/src/standing-queue.ts
@@ -2,14 +2,15 @@
 import {WorkClass} from './work.js';
 
 /**
- * A queue that has not been empty for this long is standing. Shorter ones are
- * bursts, which the time until the deadline may absorb. By the measurements
- * `decisions-saturation` and `decisions-burst`: at 1 s the p99 at 1.5 times
- * capacity misses its goal; at 0.1 s more of a burst is refused.
+ * A queue is standing if it has not been empty for longer than this, in
+ * milliseconds. Shorter queues are bursts, which the time until the deadline
+ * can absorb. According to the measurements `decisions-saturation` and
+ * `decisions-burst`, 1 s makes the p99 at 1.5 times capacity miss its goal, and
+ * 0.1 s refuses more of a burst.
  */
 const STANDING_AFTER_MILLISECONDS = 300;
 
-/** Tells a burst from an overload, for each class of work. */
+/** Distinguishes bursts from overload, for each class of work. */
 export class StandingQueue {
   private readonly lastEmptyAt = new Map<WorkClass, number>([
     [WorkClass.Interactive, 0],
@@ -18,7 +19,7 @@
 
   constructor(private readonly queue: QueuePolicy) {}
 
-  /** Has to be called whenever work was queued or taken. */
+  /** Must be called whenever a request is queued or removed from the queue. */
   observe(now: number): void {
     for (const workClass of this.lastEmptyAt.keys()) {
       if (this.queue.sizeOf(workClass) === 0) {
--- a/packages/decisions/src/test/fair-queue_test.ts
+++ b/packages/decisions/src/test/fair-queue_test.ts
@@ -37,7 +37,7 @@
 }
 
 describe('FairQueue', () => {
-  it('takes turns between organisations, whoever came first', () => {
+  it('alternates between organisations regardless of arrival order', () => {
     const queue = new FairQueue();
     push(queue, work('a1', 'a'), work('a2', 'a'), work('a3', 'a'));
     push(queue, work('b1', 'b'));
@@ -50,7 +50,7 @@
     ]);
   });
 
-  it('gives batch work a tenth while interactive work never ends', () => {
+  it('serves a tenth of batch work while interactive work is always queued', () => {
     const queue = new FairQueue();
     const organisation = 'a';
     for (let index = 0; index < 100; index++) {
@@ -65,7 +65,7 @@
     expect(batch).toBeLessThanOrEqual(22);
   });
 
-  it('gives precedence to interactive work only within a share', () => {
+  it('gives interactive work precedence only within its share', () => {
     const queue = new FairQueue();
     for (let index = 0; index < 200; index++) {
       push(queue, work(`batch-${index}`, 'within', WorkClass.Batch));
@@ -73,11 +73,11 @@
     }
     const served = Array.from({length: 200}, () => serve(queue)?.organisation);
     const within = served.filter(name => name === 'within').length;
-    // Its half, less the twenty requests of precedence.
+    // Half of the requests, less the twenty requests of precedence.
     expect(within).toBeGreaterThanOrEqual(85);
   });
 
-  it('is empty after whatever waits was removed', () => {
+  it('is empty after all requests are removed', () => {
     const queue = new FairQueue();
     push(queue, work('a1', 'a'), work('b1', 'b', WorkClass.Batch));
     expect(queue.remove('a1')).toBe(true);
--- a/packages/decisions/src/test/indexed-heap_test.ts
+++ b/packages/decisions/src/test/indexed-heap_test.ts
@@ -10,7 +10,7 @@
 });
 
 describe('IndexedHeap', () => {
-  it('pops what was set and not removed, the lowest priority first', () => {
+  it('pops the remaining items in order of priority', () => {
     fc.assert(
       fc.property(fc.array(change), changes => {
         const heap = new IndexedHeap<number>();
--- a/packages/decisions/src/test/load-core-properties_test.ts
+++ b/packages/decisions/src/test/load-core-properties_test.ts
@@ -29,9 +29,9 @@
 
 interface Action {
   readonly step: Step;
-  /** Milliseconds since the action before. */
+  /** Milliseconds since the previous action. */
   readonly after: number;
-  /** Chooses whatever the step needs. */
+  /** Selects the operands of the step. */
   readonly pick: number;
 }
 
@@ -67,15 +67,15 @@
   })).filter((_, position) => (pick + position) % 7 !== 0);
 }
 
-/** Plays actions and checks every decision against what callers know. */
-class Player {
+/** Runs actions and checks every decision against the callers' view. */
+class ActionRunner {
   private now = 0;
   private offered = 0;
   private endpoints = new Map<string, EndpointDescription>();
-  private readonly saysLeaving = new Set<string>();
-  private readonly queued = new Set<string>();
-  private readonly placed = new Map<string, string>();
-  private readonly ended = new Set<string>();
+  private readonly reportedLeaving = new Set<string>();
+  private readonly queuedRequests = new Set<string>();
+  private readonly placedRequests = new Map<string, string>();
+  private readonly endedRequests = new Set<string>();
   private readonly core: LoadCore;
 
   constructor(policies: (fraction: () => number) => LoadPolicies) {
@@ -93,23 +93,23 @@
     this.updateEndpoints(1);
   }
 
-  play({step, after, pick}: Action): void {
+  run({step, after, pick}: Action): void {
     this.now += after;
     switch (step) {
       case Step.Offer:
         this.offer(pick);
         break;
       case Step.FirstToken:
-        this.core.firstToken(this.pickPlaced(pick), this.now);
+        this.core.firstToken(this.placedRequestOf(pick), this.now);
         break;
       case Step.Finish:
-        this.finish(this.pickPlaced(pick), pick);
+        this.finish(this.placedRequestOf(pick), pick);
         break;
       case Step.Withdraw:
         this.withdraw(pick);
         break;
       case Step.Advance:
-        this.take(this.core.advance(this.now));
+        this.applyDecisions(this.core.advance(this.now));
         break;
       case Step.Endpoints:
         this.updateEndpoints(pick);
@@ -118,25 +118,28 @@
         this.report(pick);
         break;
     }
-    expect(this.core.queuedRequests).toBe(this.queued.size);
-    expect(this.core.placedRequests).toBe(this.placed.size);
+    expect(this.core.queuedRequests).toBe(this.queuedRequests.size);
+    expect(this.core.placedRequests).toBe(this.placedRequests.size);
   }
 
-  /** Whatever was offered ends once work ends and callers hang up. */
+  /**
+   * Checks that every offered request ends once all work ends and all callers
+   * disconnect.
+   */
   drain(): void {
     this.now += LATEST_DEADLINE;
-    this.take(this.core.advance(this.now));
-    for (const requestId of [...this.queued]) {
-      this.queued.delete(requestId);
-      this.ended.add(requestId);
-      this.take(this.core.withdraw(requestId, this.now));
+    this.applyDecisions(this.core.advance(this.now));
+    for (const requestId of [...this.queuedRequests]) {
+      this.queuedRequests.delete(requestId);
+      this.endedRequests.add(requestId);
+      this.applyDecisions(this.core.withdraw(requestId, this.now));
     }
-    while (this.placed.size > 0) {
-      this.finish(this.pickPlaced(0), 0);
+    while (this.placedRequests.size > 0) {
+      this.finish(this.placedRequestOf(0), 0);
     }
     expect(this.core.queuedRequests).toBe(0);
     expect(this.core.placedRequests).toBe(0);
-    expect(this.ended.size).toBe(this.offered);
+    expect(this.endedRequests.size).toBe(this.offered);
     expect(this.core.nextWakeAt()).toBeUndefined();
   }
 
@@ -159,20 +162,20 @@
       this.now,
     );
     expect(decision.requestId).toBe(requestId);
-    this.queued.add(requestId);
-    this.take([decision]);
+    this.queuedRequests.add(requestId);
+    this.applyDecisions([decision]);
   }
 
   private finish(requestId: string, pick: number): void {
-    const endpoint = this.placed.get(requestId);
+    const endpoint = this.placedRequests.get(requestId);
     if (endpoint === undefined) {
       return;
     }
-    this.placed.delete(requestId);
-    this.ended.add(requestId);
+    this.placedRequests.delete(requestId);
+    this.endedRequests.add(requestId);
     const outcomes = Object.values(WorkOutcome);
     const outcome = outcomes[pick % outcomes.length] ?? WorkOutcome.Answered;
-    this.take(
+    this.applyDecisions(
       this.core.finished(
         requestId,
         {endpoint, outcome, promptTokens: 10, outputTokens: pick % 300},
@@ -182,35 +185,35 @@
   }
 
   private withdraw(pick: number): void {
-    const waiting = [...this.queued];
+    const waiting = [...this.queuedRequests];
     const requestId = waiting[pick % Math.max(1, waiting.length)];
     if (requestId !== undefined) {
-      this.queued.delete(requestId);
-      this.ended.add(requestId);
-      this.take(this.core.withdraw(requestId, this.now));
+      this.queuedRequests.delete(requestId);
+      this.endedRequests.add(requestId);
+      this.applyDecisions(this.core.withdraw(requestId, this.now));
     }
   }
 
   private updateEndpoints(pick: number): void {
     const list = endpointsOf(pick);
     this.endpoints = new Map(list.map(entry => [entry.endpoint, entry]));
-    for (const endpoint of this.saysLeaving) {
+    for (const endpoint of this.reportedLeaving) {
       if (!this.endpoints.has(endpoint)) {
-        this.saysLeaving.delete(endpoint);
+        this.reportedLeaving.delete(endpoint);
       }
     }
-    this.take(this.core.updateEndpoints(list, this.now));
+    this.applyDecisions(this.core.updateEndpoints(list, this.now));
   }
 
   private report(pick: number): void {
     const endpoint = `engine-${pick % 4}`;
     const leaving = pick % 5 === 0;
     if (leaving && this.endpoints.has(endpoint)) {
-      this.saysLeaving.add(endpoint);
+      this.reportedLeaving.add(endpoint);
     } else {
-      this.saysLeaving.delete(endpoint);
+      this.reportedLeaving.delete(endpoint);
     }
-    this.take(
+    this.applyDecisions(
       this.core.report(
         endpoint,
         {
@@ -226,25 +229,25 @@
     );
   }
 
-  private pickPlaced(pick: number): string {
-    const running = [...this.placed.keys()];
+  private placedRequestOf(pick: number): string {
+    const running = [...this.placedRequests.keys()];
     return running[pick % Math.max(1, running.length)] ?? '';
   }
 
-  private take(decisions: readonly Decision[]): void {
+  private applyDecisions(decisions: readonly Decision[]): void {
     for (const decision of decisions) {
       const {requestId, kind} = decision;
-      // Refusals and placements are final: only what waits is decided.
-      expect(this.queued.has(requestId)).toBe(true);
+      // Refusals and placements are final: only queued requests are decided.
+      expect(this.queuedRequests.has(requestId)).toBe(true);
       if (kind === DecisionKind.Refuse) {
         expect(decision.retryAfterMilliseconds).toBeGreaterThan(0);
         expect(Number.isFinite(decision.retryAfterMilliseconds)).toBe(true);
-        this.queued.delete(requestId);
-        this.ended.add(requestId);
+        this.queuedRequests.delete(requestId);
+        this.endedRequests.add(requestId);
       }
       if (kind === DecisionKind.Place) {
-        this.queued.delete(requestId);
-        this.placed.set(requestId, decision.endpoint);
+        this.queuedRequests.delete(requestId);
+        this.placedRequests.set(requestId, decision.endpoint);
         this.checkPlacement(decision.endpoint);
       }
     }
@@ -253,8 +256,10 @@
   private checkPlacement(endpoint: string): void {
     const description = this.endpoints.get(endpoint);
     expect(description?.leaving).toBe(false);
-    expect(this.saysLeaving.has(endpoint)).toBe(false);
-    const load = [...this.placed.values()].filter(at => at === endpoint).length;
+    expect(this.reportedLeaving.has(endpoint)).toBe(false);
+    const load = [...this.placedRequests.values()].filter(
+      at => at === endpoint,
+    ).length;
     expect(load).toBeLessThanOrEqual(description?.slots ?? 0);
   }
 }
@@ -263,12 +268,12 @@
   {name: 'chosen', policies: chosenPolicies},
   {name: 'baseline', policies: baselinePolicies},
 ])('LoadCore with $name policies', ({policies}) => {
-  it('forgets nothing, passes no limit, uses no leaving endpoint, keeps refusals', () => {
+  it('loses no request, keeps all limits, uses no leaving endpoint, and never revises a refusal', () => {
     fc.assert(
       fc.property(actions, list => {
-        const player = new Player(policies);
+        const player = new ActionRunner(policies);
         for (const action of list) {
-          player.play(action);
+          player.run(action);
         }
         player.drain();
       }),
--- a/packages/decisions/src/test/load-core_test.ts
+++ b/packages/decisions/src/test/load-core_test.ts
@@ -52,7 +52,7 @@
 };
 
 describe('LoadCore', () => {
-  it('places, queues and refuses as slots and the queue fill', () => {
+  it('places, queues and then refuses as slots and queue fill up', () => {
     const core = coreWith([ENGINE]);
     expect(core.offer(work('a'), 0).kind).toBe(DecisionKind.Place);
     expect(core.offer(work('b'), 0).kind).toBe(DecisionKind.Queue);
@@ -84,7 +84,7 @@
     });
   });
 
-  it('forgets waiting work that its caller withdrew', () => {
+  it('removes queued work that its caller withdrew', () => {
     const core = coreWith([ENGINE]);
     core.offer(work('a'), 0);
     core.offer(work('b'), 0);
--- a/packages/decisions/src/test/overload_test.ts
+++ b/packages/decisions/src/test/overload_test.ts
@@ -41,7 +41,10 @@
   };
 }
 
-/** A core that has learnt how long a request takes, all local slots taken. */
+/**
+ * Creates a core that has measured the duration of a request and has all local
+ * slots occupied.
+ */
 function busyCore(endpoints: readonly EndpointDescription[]): LoadCore {
   const core = new LoadCore({
     dataCenter: 'kigali-1',
@@ -68,10 +71,10 @@
 }
 
 describe('a busy core', () => {
-  // More is offered than can be served in time. Waiting until the deadline would
-  // cost the caller the time in which to do something else, and then a slot; so
-  // it hears at once, and when to come back.
-  it('refuses at once what cannot meet its deadline', () => {
+  // More is offered than can be served in time. Waiting until the deadline
+  // would take away the caller's time for an alternative, and then occupy a
+  // slot. The caller is therefore refused at once, with a time to retry after.
+  it('immediately refuses requests that cannot meet their deadline', () => {
     const core = busyCore([endpoint('local', 'kigali-1')]);
     const decisions = Array.from({length: 60}, (_, index) =>
       core.offer(work(`more-${index}`), 0),
@@ -87,11 +90,11 @@
         ? decision.retryAfterMilliseconds
         : 0,
     );
-    // They don't all come back at once.
+    // The retries are spread over time.
     expect(returns.at(-1)).toBeGreaterThan(returns[0] ?? Infinity);
   });
 
-  it('shifts to another data centre, and leaves a quarter of its slots', () => {
+  it('shifts to another data centre, leaving a quarter of its slots free', () => {
     const core = busyCore([
       endpoint('local', 'kigali-1'),
       endpoint('remote', 'kigali-2'),
@@ -119,7 +122,7 @@
 });
 
 describe('FairAdmission', () => {
-  it('limits retries under overload, and only then', () => {
+  it('limits retries only under overload', () => {
     const admission = new FairAdmission();
     const retry = work('retry', {isRetry: true});
     const admitted = Array.from({length: 30}, () =>
--- a/packages/decisions/src/test/slow-endpoint_test.ts
+++ b/packages/decisions/src/test/slow-endpoint_test.ts
@@ -12,7 +12,7 @@
 const SLOTS = 4;
 const FAST_MILLISECONDS = 100;
 
-/** Offers a request each 20 ms; each endpoint answers, or fails, by itself. */
+/** Offers a request every 20 ms; the endpoints answer or fail independently. */
 class Fleet {
   private now = 0;
   private readonly pending: {
@@ -49,7 +49,7 @@
     );
   }
 
-  /** Returns how many of the requests each endpoint got. */
+  /** Returns the number of requests placed on each endpoint. */
   offer(requests: number): Map<string, number> {
     const counts = new Map<string, number>();
     for (let index = 0; index < requests; index++) {
@@ -103,7 +103,7 @@
 }
 
 describe('a slow endpoint', () => {
-  it('gets almost no work once it is known to be slow, and work when it recovers', () => {
+  it('gets almost no work once it is shed, and work again after it recovers', () => {
     let isSlow = false;
     const fleet = new Fleet(
       endpoint =>
@@ -121,10 +121,10 @@
     expect(fleet.offer(500).get('engine-1') ?? 0).toBeGreaterThan(50);
   });
 
-  // One endpoint refuses each connection at once. Its slots are always free, so
-  // placement by load alone would send it most of the work: callers would see
-  // failure after failure beside idle endpoints.
-  it('does not draw all the work to an endpoint that fails at once', () => {
+  // One endpoint refuses every connection at once, so its slots are always
+  // free. Placement by load alone would send it most of the work, and callers
+  // would get repeated failures while other endpoints are idle.
+  it('does not attract all the work if it fails immediately', () => {
     let fails = false;
     const fleet = new Fleet(
       endpoint => (fails && endpoint === 'engine-1' ? 1 : FAST_MILLISECONDS),
--- a/packages/decisions/src/trip-cost-shift.ts
+++ b/packages/decisions/src/trip-cost-shift.ts
@@ -1,26 +1,29 @@
 import {ShiftPolicy} from './shift-policy.js';
 
 /**
- * Part of a remote endpoint's slots that shifted work may fill. Load: one data
- * centre at twice its capacity beside others. Harm: reports lag, so shifted work
- * would take the slots that the other data centre's own callers need before
- * anybody sees it. The rest stays free for them.
+ * Share of a remote endpoint's slots that shifted work may use. When one data
+ * centre is at twice its capacity beside others, load reports lag, and shifted
+ * work would take the slots that the other data centre's own callers need
+ * before any router notices. The remaining slots stay free for them.
  */
 const REMOTE_SLOT_SHARE = 0.75;
 
 /**
- * The local wait must be this many trips long, so that work does not go to and
- * fro when the two cost about the same.
+ * Minimum local wait, in round trips, for shifting a request. It keeps work
+ * from moving back and forth when both options cost about the same.
  */
-const TRIPS_WORTH_WAITING = 2;
+const MINIMUM_ROUND_TRIPS = 2;
 
-/** Shifts only when local queueing costs clearly more than the trip. */
+/**
+ * Shifts requests only if queueing locally costs clearly more than the round
+ * trip.
+ */
 export class TripCostShift extends ShiftPolicy {
-  override isWorthTheTrip(
+  override isShiftWorthwhile(
     localWaitMilliseconds: number,
-    tripMilliseconds: number,
+    roundTripMilliseconds: number,
   ): boolean {
-    return localWaitMilliseconds > TRIPS_WORTH_WAITING * tripMilliseconds;
+    return localWaitMilliseconds > MINIMUM_ROUND_TRIPS * roundTripMilliseconds;
   }
 
   override remoteSlots(usableSlots: number): number {
--- a/packages/decisions/src/waiting-work.ts
+++ b/packages/decisions/src/waiting-work.ts
@@ -2,13 +2,16 @@
 import type {Lane} from './lane.js';
 import type {QueuedWork} from './queue-policy.js';
 
-/** A request that waits in a lane. */
+/** A request queued in a lane. */
 export interface WaitingRequest {
   readonly work: QueuedWork;
   readonly lane: Lane;
 }
 
-/** All requests that wait, in every lane, by identifier and by expiry. */
+/**
+ * All queued requests of all lanes, indexed by identifier and ordered by
+ * expiry.
+ */
 export class WaitingWork {
   private readonly requests = new Map<string, WaitingRequest>();
   private readonly expiry = new IndexedHeap<string>();
@@ -18,7 +21,7 @@
     return this.requests.size;
   }
 
-  /** When the first of them expires; undefined where none does. */
+  /** When the first request expires; undefined if none does. */
   get firstExpiry(): number | undefined {
     const first = this.expiry.peekPriority();
     return first === Infinity ? undefined : first;
@@ -32,51 +35,53 @@
     return this.byOrganisation.get(organisation) ?? 0;
   }
 
-  /** @param expiresAt Infinity where it waits until it is taken. */
+  /**
+   * @param expiresAt Infinity if the request stays queued until it is removed.
+   */
   add(request: WaitingRequest, expiresAt: number, now: number): void {
     const {work, lane} = request;
     this.requests.set(work.item.requestId, request);
     this.expiry.set(work.item.requestId, expiresAt);
-    this.count(work.item.organisation, 1);
+    this.changeCount(work.item.organisation, 1);
     lane.queue.push(work);
     lane.observeQueue(now);
   }
 
-  /** Takes a request out of its lane's queue and from here. */
-  take(requestId: string, now: number): WaitingRequest | undefined {
+  /** Removes a request from here and from its lane's queue. */
+  remove(requestId: string, now: number): WaitingRequest | undefined {
     const request = this.requests.get(requestId);
     if (request === undefined) {
       return undefined;
     }
     this.requests.delete(requestId);
     this.expiry.remove(requestId);
-    this.count(request.work.item.organisation, -1);
+    this.changeCount(request.work.item.organisation, -1);
     request.lane.queue.remove(requestId);
     request.lane.observeQueue(now);
     return request;
   }
 
-  /** Takes the next request that has expired. */
-  takeExpired(now: number): WaitingRequest | undefined {
+  /** Removes and returns the next expired request. */
+  removeExpired(now: number): WaitingRequest | undefined {
     const requestId = this.expiry.peek();
     return requestId !== undefined && (this.firstExpiry ?? Infinity) <= now
-      ? this.take(requestId, now)
+      ? this.remove(requestId, now)
       : undefined;
   }
 
-  /** Takes all requests of a lane. */
-  takeAll(lane: Lane, now: number): readonly QueuedWork[] {
+  /** Removes and returns all requests of a lane. */
+  removeAll(lane: Lane, now: number): readonly QueuedWork[] {
     const requests = [...this.requests.values()];
     const works = requests
       .filter(request => request.lane === lane)
       .map(request => request.work);
     for (const {item} of works) {
-      this.take(item.requestId, now);
+      this.remove(item.requestId, now);
     }
     return works;
   }
 
-  private count(organisation: string, change: number): void {
+  private changeCount(organisation: string, change: number): void {
     const count = this.sizeOf(organisation) + change;
     if (count === 0) {
       this.byOrganisation.delete(organisation);
--- a/packages/decisions/src/work.ts
+++ b/packages/decisions/src/work.ts
@@ -1,57 +1,65 @@
-/** How soon somebody waits for the answer. */
+/** How urgently the answer is needed. */
 export enum WorkClass {
-  /** A person waits for the first token. */
+  /** A person is waiting for the first token. */
   Interactive = 'interactive',
-  /** Nobody waits at a screen; it may run when interactive work leaves room. */
+  /** No person is waiting; it may run when interactive work leaves capacity. */
   Batch = 'batch',
 }
 
-/** One request as the decisions see it. */
+/** A request, as far as it matters for load decisions. */
 export interface WorkItem {
   readonly requestId: string;
   readonly organisation: string;
-  /** Share under contention, relative to other organisations; above 0. */
+  /**
+   * Share under contention relative to other organisations; must be positive.
+   */
   readonly weight: number;
   readonly workClass: WorkClass;
   readonly service: string;
   /** Empty for plain calls. */
   readonly model: string;
   readonly promptTokens: number;
-  /** The most tokens it may generate; 0 for plain calls. */
+  /** Maximum number of tokens to generate; 0 for plain calls. */
   readonly maximumOutputTokens: number;
   /**
-   * Hashes of the prompt's prefixes, shortest first, each covering the one
-   * before it. Empty for plain calls.
+   * Hashes of the prompt's prefixes, shortest first; each prefix includes the
+   * previous one. Empty for plain calls.
    */
   readonly prefixHashes: readonly string[];
-  /** The first token must be there by then, on the router's monotonic clock. */
+  /**
+   * Deadline for the first token, in milliseconds of the router's monotonic
+   * clock.
+   */
   readonly deadlineAt: number;
   /**
-   * True where this is a further try of the same request, by the caller or by
-   * the router. Retries are paid for out of a retry budget.
+   * True if this is a further attempt of the same request, by the caller or by
+   * the router. Retries are charged to a retry budget.
    */
   readonly isRetry?: boolean;
-  /** The endpoint that failed it before; chosen only where no other is left. */
+  /**
+   * The endpoint that failed the previous attempt; chosen only if there is no
+   * other.
+   */
   readonly avoidEndpoint?: string;
 }
 
-/** How placed work ended. */
+/** How a placed request ended. */
 export enum WorkOutcome {
-  /** The whole answer was read. */
+  /** The whole answer was received. */
   Answered = 'answered',
-  /** The endpoint failed it, was not reachable, or broke the stream. */
+  /** The endpoint failed the request, was unreachable, or broke the stream. */
   Failed = 'failed',
-  /** The caller gave up and the endpoint was told. */
+  /** The caller cancelled it and the endpoint was notified. */
   Cancelled = 'cancelled',
   /** It was placed, but nothing was sent to the endpoint. */
   NotDispatched = 'not-dispatched',
 }
 
-/** What is known of placed work when it has ended. */
+/** The result of a placed request. */
 export interface WorkResult {
   readonly endpoint: string;
   readonly outcome: WorkOutcome;
-  /** Usage as the endpoint counted it; 0 where nothing ran. */
+  /** Usage as counted by the endpoint; 0 if nothing ran. */
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
