--- a/packages/decisions/src/load-core.ts
+++ b/packages/decisions/src/load-core.ts
@@ -10,7 +10,7 @@
 import {chosenPolicies, type LoadPolicies} from './load-policies.js';
 import {Refusals} from './refusals.js';
 import type {WaitEstimate} from './refusal-policy.js';
-import {placeWaitingRequests} from './serve-waiting.js';
+import {placeWaitingRequests} from './place-waiting-requests.js';
 import {WaitingWork} from './waiting-work.js';
 import {WorkOutcome, type WorkItem, type WorkResult} from './work.js';
 
--- a/packages/decisions/src/standing-delay.ts
+++ b/packages/decisions/src/standing-delay.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * Detects whether all data that reaches a host is delayed, whoever sent it,
+ * Detects whether all data that reaches a host is delayed for every sender,
  * which means that it waits in a queue of the host itself. The decision uses
  * the minimum delay in a window, as in CoDel: a slow peer delays only its own
  * answers, and a burst leaves some answers without delay.
--- a/packages/decisions/src/test/loop-replay.ts
+++ b/packages/decisions/src/test/loop-replay.ts
@@ -77,7 +77,7 @@
   private nextCaller = 0;
   private callers = 0;
   private connecting: Attempt[] = [];
-  private onKeptConnections: Attempt[] = [];
+  private onIdleConnections: Attempt[] = [];
   private scheduled: Attempt[] = [];
   private waiting: Attempt[] = [];
   private answers: Answer[] = [];
@@ -115,7 +115,7 @@
     this.addDueCallers();
     const ready = this.answers.filter(({readyAt}) => readyAt <= startedAt);
     const connected = this.connecting.shift();
-    const kept = this.onKeptConnections.splice(0);
+    const kept = this.onIdleConnections.splice(0);
     if (connected === undefined) {
       this.lastEmptyAcceptQueueAt = startedAt;
       if (kept.length + ready.length + this.waiting.length === 0) {
@@ -163,7 +163,7 @@
       if (this.callers++ % newConnectionEvery === 0) {
         this.scheduled.push(attempt);
       } else {
-        this.onKeptConnections.push(attempt);
+        this.onIdleConnections.push(attempt);
       }
       this.nextCaller += 1_000 / requestsPerSecond(this.nextCaller);
     }
--- a/packages/decisions/src/test/rotation-policy_test.ts
+++ b/packages/decisions/src/test/rotation-policy_test.ts
@@ -28,7 +28,7 @@
 interface LoadPhase {
   readonly isOverloaded: boolean;
   readonly seconds: number;
-  readonly connectionsASecond: number;
+  readonly connectionsPerSecond: number;
 }
 
 /**
@@ -42,11 +42,11 @@
 ): void {
   let now = 0;
   let connections = 0;
-  for (const {isOverloaded, seconds, connectionsASecond} of loads) {
+  for (const {isOverloaded, seconds, connectionsPerSecond} of loads) {
     for (let until = now + seconds * 1_000; now < until;) {
       now += OBSERVATION_INTERVAL_MILLISECONDS;
       connections +=
-        (connectionsASecond * OBSERVATION_INTERVAL_MILLISECONDS) / 1_000;
+        (connectionsPerSecond * OBSERVATION_INTERVAL_MILLISECONDS) / 1_000;
       policy.observe(now, {isOverloaded, connections});
       check();
       if (now % PROBE_INTERVAL_MILLISECONDS === 0) {
@@ -85,22 +85,22 @@
         .shareOf('large').share;
       expect(share).toBeLessThan(MINIMUM_SERVED_SHARE);
 
-      const played = runOtherOrganisations(createWithdrawPolicy).add(
+      const replay = runOtherOrganisations(createWithdrawPolicy).add(
         large(rate),
       );
-      played.run(SPREADING_SECONDS).run(8);
-      expect(played.shareOf('large').share).toBeGreaterThan(0.95);
-      expect(played.shareOf('others').share).toBeGreaterThan(0.95);
+      replay.run(SPREADING_SECONDS).run(8);
+      expect(replay.shareOf('large').share).toBeGreaterThan(0.95);
+      expect(replay.shareOf('others').share).toBeGreaterThan(0.95);
     },
   );
 
   it('does not make hosts leave and return in turn', () => {
-    const played = runOtherOrganisations(createWithdrawPolicy)
+    const replay = runOtherOrganisations(createWithdrawPolicy)
       .add(large(200))
       .run(20);
     for (let second = 0; second < 20; second++) {
-      played.run(1);
-      expect(new Set(played.states)).toEqual(new Set([RotationState.Serving]));
+      replay.run(1);
+      expect(new Set(replay.states)).toEqual(new Set([RotationState.Serving]));
     }
   });
 
@@ -129,13 +129,13 @@
     // overloaded.
     const flood = {...OTHERS, rate: 1_200};
     const staying = new RotationReplay(HOSTS, () => new AlwaysServing());
-    const played = new RotationReplay(HOSTS, createWithdrawPolicy);
+    const replay = new RotationReplay(HOSTS, createWithdrawPolicy);
     const before = staying.add(flood).run(30).shareOf('others').share;
-    const share = played.add(flood).run(30).shareOf('others').share;
+    const share = replay.add(flood).run(30).shareOf('others').share;
     expect(share).toBeGreaterThanOrEqual(before);
-    played.add(OTHERS).run(20);
-    expect(played.acceptingHosts).toBe(HOSTS);
-    expect(played.run(5).shareOf('others').share).toBeGreaterThan(0.95);
+    replay.add(OTHERS).run(20);
+    expect(replay.acceptingHosts).toBe(HOSTS);
+    expect(replay.run(5).shareOf('others').share).toBeGreaterThan(0.95);
   });
 
   it.each([1, 2, 5, 30])(
@@ -145,9 +145,13 @@
       // the rotation in turn.
       const policy = new WithdrawWhileOverloaded();
       let refused = 0;
-      const calm = {isOverloaded: false, seconds: 75, connectionsASecond: rate};
-      const full = {...calm, isOverloaded: true, seconds: 30};
-      runPhases(policy, [calm, full, calm], () => {
+      const idle = {
+        isOverloaded: false,
+        seconds: 75,
+        connectionsPerSecond: rate,
+      };
+      const full = {...idle, isOverloaded: true, seconds: 30};
+      runPhases(policy, [idle, full, idle], () => {
         refused += policy.takesConnections
           ? 0
           : OBSERVATION_INTERVAL_MILLISECONDS;
@@ -167,13 +171,13 @@
     // Guards against a host that never becomes ready because the overload keeps
     // returning.
     const policy = new WithdrawWhileOverloaded();
-    const load = {isOverloaded: true, seconds: on, connectionsASecond: 10};
-    const calm = {...load, isOverloaded: false, seconds: off};
+    const load = {isOverloaded: true, seconds: on, connectionsPerSecond: 10};
+    const idle = {...load, isOverloaded: false, seconds: off};
     const rounds = Array.from({length: Math.ceil(120 / (on + off))});
     let refused = 0;
     runPhases(
       policy,
-      rounds.flatMap(() => [load, calm]),
+      rounds.flatMap(() => [load, idle]),
       () => {
         refused += policy.takesConnections
           ? 0
@@ -203,7 +207,7 @@
     const policy = new WithdrawWhileOverloaded();
     runPhases(
       policy,
-      [{isOverloaded: true, seconds: 4, connectionsASecond: 0}],
+      [{isOverloaded: true, seconds: 4, connectionsPerSecond: 0}],
       () => undefined,
     );
     expect(policy.state).toBe(RotationState.Shedding);
@@ -217,7 +221,7 @@
     fc.record({
       isOverloaded: fc.boolean(),
       seconds: fc.integer({min: 1, max: 12}),
-      connectionsASecond: fc.integer({min: 0, max: 30}),
+      connectionsPerSecond: fc.integer({min: 0, max: 30}),
     }),
     {maxLength: 30},
   );
@@ -238,8 +242,8 @@
       fc.property(loads, rows => {
         const policy = new WithdrawWhileOverloaded();
         const seconds = MAXIMUM_RETURN_MILLISECONDS / 1_000;
-        const calm = {isOverloaded: false, seconds, connectionsASecond: 0};
-        runPhases(policy, [...rows, calm], () => undefined);
+        const idle = {isOverloaded: false, seconds, connectionsPerSecond: 0};
+        runPhases(policy, [...rows, idle], () => undefined);
         expect(policy.takesConnections).toBe(true);
       }),
     );
