--- a/packages/platform/src/clock.ts
+++ b/packages/platform/src/clock.ts
@@ -1,19 +1,19 @@
 /**
- * Time as one process sees it. No promise of the system compares the clocks of
- * two hosts.
+ * The clock of one process. No guarantee of the system depends on comparing the
+ * clocks of two hosts.
  */
 export abstract class Clock {
-  /** Milliseconds on this process's own monotonic clock; the zero is arbitrary. */
+  /** Milliseconds of this process's monotonic clock, from an arbitrary origin. */
   abstract monotonicMilliseconds(): number;
 
-  /** Milliseconds since 1970, for logs and for people only. */
+  /** Milliseconds since 1970; only for logs and for display. */
   abstract wallMilliseconds(): number;
 
   /**
-   * Resolves after a delay, or at once when the signal is aborted; never
+   * Resolves after a delay, or immediately when the signal is aborted; never
    * rejects.
    *
-   * @param milliseconds How long to wait.
+   * @param milliseconds The delay.
    * @example
    * ```ts
    * await clock.sleep(500, signal);
--- a/packages/platform/src/connection-errors.ts
+++ b/packages/platform/src/connection-errors.ts
@@ -1,5 +1,5 @@
-/** Errors of the connect step: no byte of the request was sent. */
-const NEVER_SENT_CODES: ReadonlySet<string> = new Set([
+/** Error codes of a failed connect: no byte of the request was sent. */
+const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -7,14 +7,14 @@
 ]);
 
 /**
- * Servers commonly close an idle connection after 5 s. A request written to a
- * connection that is just being closed fails with an unknown fate, which for a
- * non-idempotent call would be an unclear outcome without need. Dropping idle
- * connections a second earlier leaves the server nothing to close.
+ * Idle connections are closed after this time. Servers commonly close them after
+ * 5 s, and a request written to a connection that the server is closing fails with
+ * an unknown fate: a non-idempotent call would then have an unclear outcome.
+ * Closing idle connections 1 s before the server does avoids that race.
  */
-export const IDLE_CONNECTION_MILLISECONDS = 4_000;
+export const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 4_000;
 
-/** Whether an error's code tells that no connection was made. */
-export function isNeverSentCode(code: unknown): boolean {
-  return typeof code === 'string' && NEVER_SENT_CODES.has(code);
+/** Whether an error code means that no connection was established. */
+export function isConnectErrorCode(code: unknown): boolean {
+  return typeof code === 'string' && CONNECT_ERROR_CODES.has(code);
 }
--- a/packages/platform/src/event-stream-reader.ts
+++ b/packages/platform/src/event-stream-reader.ts
@@ -21,9 +21,9 @@
 }
 
 /**
- * Splits a body into server-sent events, as the HTML standard frames them
- * (https://html.spec.whatwg.org/multipage/server-sent-events.html). What stands
- * after the last blank line is an unfinished event and is dropped.
+ * Parses a body as server-sent events, as the HTML standard defines them
+ * (https://html.spec.whatwg.org/multipage/server-sent-events.html). Data after the
+ * last blank line is an incomplete event and is discarded.
  *
  * @example
  * ```ts
--- a/packages/platform/src/host-link.ts
+++ b/packages/platform/src/host-link.ts
@@ -1,43 +1,55 @@
 /**
- * The host's own inbound link, as calls of the host need to know it: what comes in over
- * a full link is late, whatever the peer does.
+ * The congestion state of the host's inbound network link. Calls consult it because
+ * data that arrives over a full link is delayed regardless of the peer.
  *
  * @example
  * ```ts
- * const timeout = new NetworkTimeout(120 + link.delayMilliseconds, giveUp);
+ * const timeout = new NetworkTimeout(120 + link.delayMilliseconds, onTimeout);
  * ```
  */
 export abstract class HostLink {
-  /** How long what comes in waits at the link; 0 while it is free, milliseconds. */
+  /** Queueing delay of inbound data at the link, in milliseconds; 0 without congestion. */
   abstract get delayMilliseconds(): number;
 
-  /** Whether the link is full or was so recently: lateness says nothing of peers. */
+  /**
+   * Whether the link is full or was full recently, so that a late response is no evidence
+   * of a faulty peer.
+   */
   abstract get isCongested(): boolean;
 
-  /** Largest answer that crosses the link within a time; Infinity while it is free. */
+  /**
+   * Largest response, in bytes, that the link can deliver within a time in milliseconds;
+   * Infinity without congestion.
+   */
   abstract answerBytes(milliseconds: number): number;
 
-  /** Whether the link is congested, and nothing has come without delay lately. */
+  /** Whether the link is congested and no inbound data arrived without delay recently. */
   abstract get isLate(): boolean;
 
-  /** A connection came, or had not come, after so long. */
+  /**
+   * Records how long a connection took to open, or how long it has been pending, in
+   * milliseconds.
+   */
   abstract connected(milliseconds: number): void;
 
-  /** What a peer sends without delay came after so long. */
+  /**
+   * Records the milliseconds until the arrival of data that the peer sends without
+   * delay.
+   */
   abstract arrived(milliseconds: number): void;
 
-  /** It had not come after so long, and is not waited for any longer. */
+  /** Records that such data did not arrive, and after how many milliseconds the wait ended. */
   abstract expired(milliseconds: number): void;
 }
 
-/** A link at which nothing waits. */
+/** A link without congestion: it delays no data and ignores measurements. */
 export class FreeLink extends HostLink {
   override readonly delayMilliseconds: number = 0;
   override readonly isCongested = false;
   override readonly isLate = false;
 
   override connected(): void {
-    // Nothing depends on it.
+    // The delay is always 0.
   }
 
   override answerBytes(): number {
@@ -45,10 +57,10 @@
   }
 
   override arrived(): void {
-    // Nothing depends on it.
+    // The delay is always 0.
   }
 
   override expired(): void {
-    // Nothing depends on it.
+    // The delay is always 0.
   }
 }
--- a/packages/platform/src/host-list.ts
+++ b/packages/platform/src/host-list.ts
@@ -1,10 +1,10 @@
-/** Whether the platform goes on giving work to a host or endpoint. */
+/** Whether the platform still assigns work to a host or endpoint. */
 export enum ListedState {
   Live = 'live',
   Leaving = 'leaving',
 }
 
-/** An entry host as the platform lists it. Addresses are `IP:port`. */
+/** A host in the platform's list. Addresses are `IP:port`. */
 export interface ListedHost {
   readonly host: string;
   readonly dataCenter: string;
@@ -14,13 +14,13 @@
   readonly callerAddress: string;
 }
 
-/** An endpoint as the platform lists it. */
+/** An endpoint in the platform's list. */
 export interface ListedEndpoint {
   readonly endpoint: string;
   readonly state: ListedState;
 }
 
-/** One reading of the platform's list. It lags behind what is true. */
+/** A copy of the platform's list. It lags behind the actual state. */
 export interface HostListing {
   readonly hosts: readonly ListedHost[];
   readonly endpoints: readonly ListedEndpoint[];
@@ -29,10 +29,10 @@
 /** The platform's list of live and leaving hosts. */
 export abstract class HostList {
   /**
-   * Reads the whole list.
+   * Reads the list.
    *
-   * @throws StepError when the platform can't be reached; the last listing then
-   *     stays the best knowledge.
+   * @throws StepError when the list could not be read; callers keep using the
+   *     last copy.
    * @example
    * ```ts
    * const {hosts} = await hostList.read();
@@ -40,6 +40,6 @@
    */
   abstract read(signal?: AbortSignal): Promise<HostListing>;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): Promise<void>;
 }
--- a/packages/platform/src/http-caller.ts
+++ b/packages/platform/src/http-caller.ts
@@ -2,57 +2,67 @@
 import type {Socket} from 'node:net';
 
 import {
-  IDLE_CONNECTION_MILLISECONDS,
-  isNeverSentCode,
+  isConnectErrorCode,
+  KEEP_ALIVE_TIMEOUT_MILLISECONDS,
 } from './connection-errors.js';
 import {FreeLink, type HostLink} from './host-link.js';
-import type {Exchange, ExchangeTimeouts, WholeAnswer} from './http-peer.js';
+import type {
+  BufferedResponse,
+  Exchange,
+  ExchangeTimeouts,
+} from './http-peer.js';
 import {NetworkTimeout} from './network-timeout.js';
 import {Fate, StepError} from './step-error.js';
 
-/** A call that the caller is to make. */
+/** A request with its timeouts. */
 export type HttpCall = Pick<
   Exchange,
   'step' | 'method' | 'path' | 'headers' | 'body'
 > & {
-  /** On a free link, milliseconds. */
+  /** Timeouts without congestion of the host's link, in milliseconds. */
   readonly timeouts: Required<Pick<ExchangeTimeouts, 'connect' | 'total'>>;
-  /** The peer may hold its answer back for so long, beyond the limits; 0 by default. */
-  readonly heldMilliseconds?: number;
-  /** Of this host; it lengthens the limits, and is told what came when. */
+  /**
+   * Milliseconds for which the peer may hold its response back (long polling), in
+   * addition to the timeouts; 0 by default.
+   */
+  readonly longPollMilliseconds?: number;
+  /** This host's link: its delay extends the timeouts, and measurements are recorded in it. */
   readonly link?: HostLink;
 };
 
-/** A connection that has gone silent is noticed, however full the host's link is. */
-const LONGEST_DELAY_MILLISECONDS = 1_000;
+/**
+ * Bound on the link delay that extends timeouts, so that a connection without traffic is
+ * detected even while the host's link is full.
+ */
+const MAXIMUM_LINK_DELAY_MILLISECONDS = 1_000;
 
-/** A call exceeded one of its time limits. */
+/** A call exceeded its connect timeout or its total timeout. */
 export class CallTimeoutError extends Error {
   override readonly name: string = 'CallTimeoutError';
 
   constructor(
-    readonly isUnconnected: boolean,
+    readonly isConnectTimeout: boolean,
     milliseconds: number,
   ) {
-    const what = isUnconnected ? 'no connection' : 'no whole answer';
-    super(`${what} within ${milliseconds} ms`);
+    const missing = isConnectTimeout ? 'no connection' : 'no complete response';
+    super(`${missing} within ${milliseconds} ms`);
   }
 }
 
-/** Whether a call of `HttpCaller` failed because it exceeded one of its time limits. */
+/** Whether a call failed because it exceeded one of its timeouts. */
 export function isCallTimeout(error: unknown): boolean {
   return error instanceof StepError && error.cause instanceof CallTimeoutError;
 }
 
 /**
- * Calls one HTTP peer that every process asks many times a second: whole answers
- * only, over kept connections, and nothing is retried. `HttpPeer` does more, and
- * costs some times as much a call.
+ * HTTP client for a peer that every process calls many times a second. It reads
+ * responses into memory, reuses connections and never retries. `HttpPeer` has more
+ * features, but a call costs several times as much.
  */
 export class HttpCaller {
   private readonly agent = new Agent({
     keepAlive: true,
-    timeout: IDLE_CONNECTION_MILLISECONDS,
+    timeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
   });
 
   /**
@@ -66,15 +76,15 @@
   ) {}
 
   /**
-   * Makes a call and reads its whole answer, whatever its status.
+   * Sends a request and reads the complete response, whatever its status.
    *
-   * @throws StepError with fate NotDone only where no connection was made.
+   * @throws StepError with fate NotDone only if no connection was established.
    * @example
    * ```ts
-   * const {status, body} = await caller.call({step: 'read', method: 'GET', …});
+   * const {status, body} = await client.call({step: 'read', method: 'GET', …});
    * ```
    */
-  async call(call: HttpCall): Promise<WholeAnswer> {
+  async call(call: HttpCall): Promise<BufferedResponse> {
     const {method, path, headers, body} = call;
     const outgoing = sendRequest({
       agent: this.agent,
@@ -84,10 +94,10 @@
       path,
       headers: {...headers},
     });
-    const answer = wholeAnswer(outgoing, call);
+    const response = readResponse(outgoing, call);
     outgoing.end(body);
     try {
-      return await answer;
+      return await response;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       throw new StepError(call.step, this.peer, fateOf(error), reason, {
@@ -96,110 +106,118 @@
     }
   }
 
-  /** Destroys every connection; calls in progress fail. */
+  /** Closes every connection; calls in progress fail. */
   close(): void {
     this.agent.destroy();
   }
 }
 
 /**
- * The time limits of one call. While the host's link delays what comes in, they are
- * longer by the delay, and the answer's begins with its connection.
+ * The connect timeout and the total timeout of one call. While the host's link delays
+ * inbound data, both are extended by the delay, and the total timeout restarts when the
+ * connection is established.
  */
-class CallLimits {
+class CallTimeouts {
   private readonly link: HostLink;
-  private readonly delay: number;
-  private readonly answer: NetworkTimeout;
-  private connection: NetworkTimeout | undefined;
-  /** The peer's next sign is awaited since then; undefined where none is. */
-  private awaitedSince: number | undefined = performance.now();
+  private readonly linkDelayMilliseconds: number;
+  private readonly answerTimeout: NetworkTimeout;
+  private connectTimeout: NetworkTimeout | undefined;
+  /**
+   * When the wait for the peer's next data began, by `performance.now`; undefined while
+   * none is expected.
+   */
+  private waitingSince: number | undefined = performance.now();
 
   constructor(
     private readonly call: HttpCall,
     private readonly fail: (error: Error) => void,
   ) {
-    const {timeouts, link = new FreeLink(), heldMilliseconds = 0} = call;
+    const {timeouts, link = new FreeLink(), longPollMilliseconds = 0} = call;
     this.link = link;
-    this.delay = Math.min(LONGEST_DELAY_MILLISECONDS, link.delayMilliseconds);
-    const total = timeouts.total + heldMilliseconds + this.delay;
-    this.answer = new NetworkTimeout(total, () => {
-      this.noteExpired(heldMilliseconds);
+    this.linkDelayMilliseconds = Math.min(
+      MAXIMUM_LINK_DELAY_MILLISECONDS,
+      link.delayMilliseconds,
+    );
+    const total =
+      timeouts.total + longPollMilliseconds + this.linkDelayMilliseconds;
+    this.answerTimeout = new NetworkTimeout(total, () => {
+      this.recordTimeout(longPollMilliseconds);
       fail(new CallTimeoutError(false, total));
     });
   }
 
-  /** The connection is new. */
-  connecting(socket: Socket): void {
-    const limit = this.call.timeouts.connect + this.delay;
-    this.connection = new NetworkTimeout(limit, () => {
-      this.noteExpired(0);
+  /** Starts the connect timeout of a new connection. */
+  startConnectTimeout(socket: Socket): void {
+    const limit = this.call.timeouts.connect + this.linkDelayMilliseconds;
+    this.connectTimeout = new NetworkTimeout(limit, () => {
+      this.recordTimeout(0);
       this.fail(new CallTimeoutError(true, limit));
     });
     socket.once('connect', () => {
-      this.connection?.close();
-      this.noteArrived();
-      this.awaitedSince = performance.now();
-      if (this.delay > 0) {
-        this.answer.refresh();
+      this.connectTimeout?.close();
+      this.recordArrival();
+      this.waitingSince = performance.now();
+      if (this.linkDelayMilliseconds > 0) {
+        this.answerTimeout.refresh();
       }
     });
     socket.once('close', () => {
-      this.connection?.close();
+      this.connectTimeout?.close();
     });
   }
 
-  /** The answer begins. */
-  answered(): void {
-    if ((this.call.heldMilliseconds ?? 0) === 0) {
-      this.noteArrived();
+  /** Records the arrival of the response head. */
+  onResponse(): void {
+    if ((this.call.longPollMilliseconds ?? 0) === 0) {
+      this.recordArrival();
     }
-    this.awaitedSince = undefined;
+    this.waitingSince = undefined;
   }
 
-  /** The call has ended. */
+  /** Cancels the timeouts. */
   close(): void {
-    this.answer.close();
-    this.connection?.close();
+    this.answerTimeout.close();
+    this.connectTimeout?.close();
   }
 
-  private noteArrived(): void {
-    if (this.awaitedSince !== undefined) {
-      this.link.arrived(performance.now() - this.awaitedSince);
+  private recordArrival(): void {
+    if (this.waitingSince !== undefined) {
+      this.link.arrived(performance.now() - this.waitingSince);
     }
   }
 
-  private noteExpired(heldMilliseconds: number): void {
-    if (this.awaitedSince !== undefined) {
-      const waited = performance.now() - this.awaitedSince;
-      this.link.expired(waited - heldMilliseconds);
+  private recordTimeout(longPollMilliseconds: number): void {
+    if (this.waitingSince !== undefined) {
+      const waited = performance.now() - this.waitingSince;
+      this.link.expired(waited - longPollMilliseconds);
     }
   }
 }
 
-function wholeAnswer(
+function readResponse(
   outgoing: ClientRequest,
   call: HttpCall,
-): Promise<WholeAnswer> {
+): Promise<BufferedResponse> {
   return new Promise((resolve, reject) => {
     const fail = (error: Error) => {
-      limits.close();
+      callTimeouts.close();
       reject(error);
       outgoing.destroy();
     };
-    const limits = new CallLimits(call, fail);
+    const callTimeouts = new CallTimeouts(call, fail);
     outgoing.once('socket', socket => {
       if (socket.connecting) {
-        limits.connecting(socket);
+        callTimeouts.startConnectTimeout(socket);
       }
     });
     outgoing.on('error', fail);
     outgoing.once('response', incoming => {
-      limits.answered();
+      callTimeouts.onResponse();
       const chunks: Buffer[] = [];
       incoming.on('data', (chunk: Buffer) => chunks.push(chunk));
       incoming.on('error', fail);
       incoming.once('end', () => {
-        limits.close();
+        callTimeouts.close();
         const {statusCode = 0, headers} = incoming;
         resolve({status: statusCode, headers, body: Buffer.concat(chunks)});
       });
@@ -209,9 +227,9 @@
 
 function fateOf(error: unknown): Fate {
   if (error instanceof CallTimeoutError) {
-    return error.isUnconnected ? Fate.NotDone : Fate.Unknown;
+    return error.isConnectTimeout ? Fate.NotDone : Fate.Unknown;
   }
-  const isNeverSent =
-    error instanceof Error && 'code' in error && isNeverSentCode(error.code);
-  return isNeverSent ? Fate.NotDone : Fate.Unknown;
+  const isConnectError =
+    error instanceof Error && 'code' in error && isConnectErrorCode(error.code);
+  return isConnectError ? Fate.NotDone : Fate.Unknown;
 }
--- a/packages/platform/src/http-endpoint-options.ts
+++ b/packages/platform/src/http-endpoint-options.ts
@@ -1,22 +1,22 @@
 import {Fate, StepError} from './step-error.js';
 
-/** Header in which an endpoint gets and echoes the attempt identifier. */
+/** Header that carries the attempt identifier; endpoints echo it. */
 export const ATTEMPT_HEADER = 'x-attempt-id';
 
-/** Limits of exchanges with endpoints, in milliseconds. */
+/** Timeouts of requests to endpoints, in milliseconds. */
 export interface HttpEndpointOptions {
-  /** An endpoint in reach accepts a connection within a round trip. */
+  /** Connect timeout. A reachable endpoint accepts a connection within a round trip. */
   readonly connectTimeoutMilliseconds: number;
   /**
-   * From the sent request to the head of the answer. An engine answers its head
-   * only when it takes the request up, so this includes its own queue.
+   * From the sent request to the response head. An engine sends the head only when
+   * it starts the request, so this includes the time in the engine's queue.
    */
   readonly responseTimeoutMilliseconds: number;
-  /** Longest silence within a stream before it counts as lost. */
+  /** Longest time without data within a stream before it counts as lost. */
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** Limits for endpoints a few milliseconds away. */
+/** Timeouts for endpoints with a round-trip time of a few milliseconds. */
 export const DEFAULT_ENDPOINT_OPTIONS: HttpEndpointOptions = {
   connectTimeoutMilliseconds: 1_000,
   responseTimeoutMilliseconds: 30_000,
@@ -24,12 +24,12 @@
 };
 
 /**
- * Refuses an answer of another attempt. Symptom without it: after answers were
- * crossed or came late, one caller reads another caller's text. The check is
- * made before any byte of the body is used, and the caller of this function
- * destroys the connection, so nothing of it is read as a later answer.
+ * Rejects a response that belongs to another attempt. Without this check, a caller
+ * could receive another caller's text after an endpoint mixed up responses or sent
+ * one late. Call it before using any byte of the body, and destroy the connection
+ * when it throws, so that the rest of the body is not read as a later response.
  *
- * @throws StepError with fate Unknown: the request itself may have run.
+ * @throws StepError with fate Unknown, since the request itself may have run.
  */
 export function checkAttemptEcho(
   step: string,
@@ -38,7 +38,7 @@
   echoed: unknown,
 ): void {
   if (echoed !== expected) {
-    const reason = `the answer names attempt ${String(echoed)}, not ${expected}`;
+    const reason = `the response has attempt identifier ${String(echoed)}, expected ${expected}`;
     throw new StepError(step, peer, Fate.Unknown, reason);
   }
 }
--- a/packages/platform/src/http-engine-stream.ts
+++ b/packages/platform/src/http-engine-stream.ts
@@ -17,7 +17,7 @@
 import {Fate, StepError} from './step-error.js';
 
 const STEP = 'read an engine stream';
-const END_MARK = '[DONE]';
+const END_MARKER = '[DONE]';
 
 const FINISH_REASONS: Readonly<Record<string, FinishReason>> = {
   stop: FinishReason.Stop,
@@ -39,8 +39,8 @@
 export class HttpEngineStream implements EngineStream {
   readonly events: AsyncIterable<EngineEvent>;
   private finishReason: FinishReason | undefined;
-  private announcedEnd: EngineEnd | undefined;
-  private finished: EngineEnd | undefined;
+  private pendingEnd: EngineEnd | undefined;
+  private confirmedEnd: EngineEnd | undefined;
 
   constructor(
     private readonly endpoint: string,
@@ -51,7 +51,7 @@
   }
 
   get end(): EngineEnd | undefined {
-    return this.finished;
+    return this.confirmedEnd;
   }
 
   detach(): void {
@@ -61,11 +61,11 @@
   private async *read(): AsyncGenerator<EngineEvent> {
     try {
       for await (const event of readServerSentEvents(this.answer.body)) {
-        if (event.data === END_MARK) {
-          this.finished = this.announcedEnd;
+        if (event.data === END_MARKER) {
+          this.confirmedEnd = this.pendingEnd;
           continue;
         }
-        const text = this.takeChunk(parseFields(event.data));
+        const text = this.processChunk(parseFields(event.data));
         if (text !== '') {
           yield {index: Number(event.id), text};
         }
@@ -79,22 +79,25 @@
   }
 
   /**
-   * A connection that ends quietly looks like a short answer. Symptom: the
-   * caller takes half an answer for the whole. Only the end mark after the
-   * usage makes a stream complete.
+   * Rejects a stream that ended without its end marker. A connection that closes
+   * without an error looks like the end of a short response, and the caller would
+   * take a truncated response for a complete one. A stream is complete only with the
+   * end marker after the usage.
+   *
+   * @throws StepError with fate Unknown.
    */
   private requireEnd(): void {
-    if (this.finished === undefined) {
+    if (this.confirmedEnd === undefined) {
       throw new StepError(
         STEP,
         this.endpoint,
         Fate.Unknown,
-        'the stream broke off before its end mark',
+        'the stream ended before its end marker',
       );
     }
   }
 
-  private takeChunk(chunk: JsonFields): string {
+  private processChunk(chunk: JsonFields): string {
     checkAttemptEcho(STEP, this.endpoint, this.attemptId, chunk.id);
     const [first] = listField(chunk, 'choices');
     const choice = first === undefined ? undefined : asFields(first);
@@ -104,7 +107,7 @@
     }
     const usage = chunk.usage;
     if (typeof usage === 'object' && usage !== null) {
-      this.announcedEnd = toEnd(
+      this.pendingEnd = toEnd(
         asFields(usage),
         this.finishReason ?? FinishReason.Stop,
       );
--- a/packages/platform/src/http-host-list.ts
+++ b/packages/platform/src/http-host-list.ts
@@ -18,9 +18,9 @@
 
 const SUCCESS = 200;
 
-/** Where the list is, and who reads it. */
+/** URL of the list, timeout, and the host that reads it. */
 export interface HttpHostListOptions extends HttpServiceOptions {
-  /** Name of the reading host: addresses may differ by viewer. */
+  /** Name of the host that reads the list; addresses may differ between viewers. */
   readonly viewer: string;
 }
 
--- a/packages/platform/src/http-log-client.ts
+++ b/packages/platform/src/http-log-client.ts
@@ -9,11 +9,11 @@
 import {LogClient, type LogPage, type LogRecord} from './log-client.js';
 import {Fate, StepError} from './step-error.js';
 
-/** Where a service of the platform is. */
+/** URL and timeout of a service of the platform. */
 export interface HttpServiceOptions {
   /** `http://IP:port`, without a slash at the end. */
   readonly url: string;
-  /** An answer that takes longer counts as lost. */
+  /** A response that takes longer counts as lost. */
   readonly timeoutMilliseconds: number;
 }
 
@@ -65,8 +65,8 @@
       signal,
     });
     if (answer.status !== CREATED) {
-      // A server error may come after the record was stored; only a refusal of
-      // the request itself proves that it was not.
+      // The server may fail after it stored the record; only a rejection of the
+      // request itself proves that the record was not stored.
       const fate =
         answer.status >= FIRST_SERVER_ERROR ? Fate.Unknown : Fate.NotDone;
       throw new StepError(step, this.peer.peer, fate, `HTTP ${answer.status}`);
@@ -107,7 +107,7 @@
         endOffset: numberField(fields, 'endOffset'),
       };
     } catch (error) {
-      // A read has no effect, whatever became of its answer.
+      // A read has no side effects, so it is NotDone even if its response was lost.
       const {reason} = toStepError(step, this.peer.peer, error);
       throw new StepError(step, this.peer.peer, Fate.NotDone, reason, {
         cause: error,
--- a/packages/platform/src/http-model-engine.ts
+++ b/packages/platform/src/http-model-engine.ts
@@ -61,7 +61,7 @@
   private readonly peer: HttpPeer;
 
   /**
-   * @param endpoint Name of the endpoint, for errors.
+   * @param endpoint Name of the endpoint in errors.
    * @param address `IP:port`.
    */
   constructor(
@@ -111,18 +111,33 @@
     attemptId: string,
     signal?: AbortSignal,
   ): Promise<AttemptStatus> {
-    return this.attempt('cancel an attempt', 'DELETE', attemptId, signal);
+    return this.requestAttemptStatus(
+      'cancel an attempt',
+      'DELETE',
+      attemptId,
+      signal,
+    );
   }
 
   override status(
     attemptId: string,
     signal?: AbortSignal,
   ): Promise<AttemptStatus> {
-    return this.attempt('ask for an attempt', 'GET', attemptId, signal);
+    return this.requestAttemptStatus(
+      'get the status of an attempt',
+      'GET',
+      attemptId,
+      signal,
+    );
   }
 
   override async load(signal?: AbortSignal): Promise<EngineLoad> {
-    const fields = await this.json('read the load', 'GET', '/load', signal);
+    const fields = await this.requestJson(
+      'read the load',
+      'GET',
+      '/load',
+      signal,
+    );
     return {
       running: numberField(fields, 'running'),
       waiting: numberField(fields, 'waiting'),
@@ -137,7 +152,7 @@
     order: EngineOrder,
     signal?: AbortSignal,
   ): Promise<boolean> {
-    const step = 'give an order';
+    const step = 'send an order';
     const answer = await this.peer.exchange({
       step,
       method: 'POST',
@@ -148,7 +163,7 @@
       signal,
     });
     if (answer.status !== SUCCESS && answer.status !== CONFLICT) {
-      throw this.failure(step, Fate.Unknown, answer.status);
+      throw this.statusError(step, Fate.Unknown, answer.status);
     }
     return answer.status === SUCCESS;
   }
@@ -164,12 +179,12 @@
     const answer = await this.peer.open(exchange);
     try {
       if (answer.status !== SUCCESS) {
-        // 503 is the engine's word that it took nothing up; other server errors
-        // may come from work that had begun.
+        // With 503 the engine states that it did not start the request; other server
+        // errors may come from a request that had started.
         const refused =
           answer.status < FIRST_SERVER_ERROR || answer.status === UNAVAILABLE;
         const fate = refused ? Fate.NotDone : Fate.Unknown;
-        throw this.failure(exchange.step, fate, answer.status);
+        throw this.statusError(exchange.step, fate, answer.status);
       }
       const echoed = answer.headers[ATTEMPT_HEADER];
       checkAttemptEcho(exchange.step, this.endpoint, attemptId, echoed);
@@ -180,7 +195,7 @@
     }
   }
 
-  private async attempt(
+  private async requestAttemptStatus(
     step: string,
     method: string,
     attemptId: string,
@@ -197,10 +212,10 @@
     if (answer.status === NOT_FOUND) {
       return UNKNOWN_ATTEMPT;
     }
-    return toStatus(this.fieldsOf(step, answer));
+    return toStatus(this.parseAnswer(step, answer));
   }
 
-  private async json(
+  private async requestJson(
     step: string,
     method: string,
     path: string,
@@ -214,15 +229,15 @@
       timeouts,
       signal,
     });
-    return this.fieldsOf(step, answer);
+    return this.parseAnswer(step, answer);
   }
 
-  private fieldsOf(
+  private parseAnswer(
     step: string,
     answer: {readonly status: number; readonly body: Buffer},
   ): JsonFields {
     if (answer.status !== SUCCESS) {
-      throw this.failure(step, Fate.Unknown, answer.status);
+      throw this.statusError(step, Fate.Unknown, answer.status);
     }
     try {
       return parseFields(answer.body.toString());
@@ -231,7 +246,7 @@
     }
   }
 
-  private failure(step: string, fate: Fate, status: number): StepError {
+  private statusError(step: string, fate: Fate, status: number): StepError {
     return new StepError(step, this.endpoint, fate, `HTTP ${status}`);
   }
 
@@ -254,7 +269,7 @@
   }
 }
 
-/** Makes clients of engines that are served over HTTP. */
+/** Creates clients of engines that are reached over HTTP. */
 export class HttpModelEngineFactory extends ModelEngineFactory {
   /**
    * @example
--- a/packages/platform/src/http-peer.ts
+++ b/packages/platform/src/http-peer.ts
@@ -2,28 +2,28 @@
 import {Agent} from 'node:http';
 
 import {
-  IDLE_CONNECTION_MILLISECONDS,
-  isNeverSentCode,
+  isConnectErrorCode,
+  KEEP_ALIVE_TIMEOUT_MILLISECONDS,
 } from './connection-errors.js';
 import {Fate, StepError} from './step-error.js';
 
-/** Limits of one exchange, in milliseconds; absent means none. */
+/** Timeouts of one HTTP exchange, in milliseconds; there is no limit where one is absent. */
 export interface ExchangeTimeouts {
   readonly connect: number;
-  /** From the sent request to the head of the answer. */
+  /** From the sent request to the response head. */
   readonly response?: number;
-  /** Longest silence on the connection. */
+  /** Longest time without data on the connection. */
   readonly idle?: number;
-  /** The whole exchange. */
+  /** From the connect to the end of the response. */
   readonly total?: number;
 }
 
-/** One exchange to make. */
+/** A request with its timeouts. */
 export interface Exchange {
-  /** Step named in errors. */
+  /** Name of the operation in errors. */
   readonly step: string;
   readonly method: string;
-  /** Path and query. */
+  /** Path with query string. */
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Uint8Array | string;
@@ -31,7 +31,7 @@
   readonly signal?: AbortSignal | undefined;
 }
 
-/** An answer whose head has been read. */
+/** A response whose head has been read. */
 export interface OpenAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -39,8 +39,8 @@
   readonly body: Request;
 }
 
-/** An answer that was read to its end. */
-export interface WholeAnswer {
+/** A response that was read completely. */
+export interface BufferedResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: Buffer;
@@ -50,13 +50,13 @@
   if (error instanceof TimeoutError && error.event === 'connect') {
     return Fate.NotDone;
   }
-  return error instanceof RequestError && isNeverSentCode(error.code)
+  return error instanceof RequestError && isConnectErrorCode(error.code)
     ? Fate.NotDone
     : Fate.Unknown;
 }
 
 /**
- * Turns any error of an exchange into one that names step, peer and fate.
+ * Converts any error of an exchange into a `StepError` with step, peer and fate.
  *
  * @example
  * ```ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * One HTTP peer with its pool of kept-alive connections. Nothing is retried
- * here: whether a repeat is harmless is known only to the caller.
+ * HTTP client for one peer, with a pool of keep-alive connections. It never retries:
+ * only the calling code can tell whether a request may be repeated.
  */
 export class HttpPeer {
   private readonly agent: Agent;
@@ -93,7 +93,7 @@
   ) {
     this.agent = new Agent({
       keepAlive: true,
-      timeout: IDLE_CONNECTION_MILLISECONDS,
+      timeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
     });
     this.client = got.extend({
       agent: {http: this.agent},
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Sends a request and resolves with the head of the answer.
+   * Sends a request and resolves once the response head has been read.
    *
-   * @throws StepError with fate NotDone only where no connection was made.
+   * @throws StepError with fate NotDone only if no connection was established.
    * @example
    * ```ts
    * const answer = await peer.open({step: 'read load', method: 'GET', …});
@@ -122,8 +122,9 @@
       ...(exchange.signal === undefined ? {} : {signal: exchange.signal}),
     });
     return new Promise<OpenAnswer>((resolve, reject) => {
-      // Stays registered: an error after the head also ends the iteration over
-      // the body, and must not end the process where nobody iterates.
+      // The listener stays registered after the head: a later error also ends the
+      // iteration over the body, and without a listener it would end the process
+      // when no code iterates over the body.
       body.on('error', error => {
         reject(toStepError(exchange.step, this.peer, error));
       });
@@ -134,21 +135,21 @@
   }
 
   /**
-   * Makes a whole exchange.
+   * Sends a request and reads the complete response.
    *
-   * @param check Called with the head; an error that it throws destroys the
-   *     connection, so that the rest of a wrong answer is never read as the
-   *     next one.
-   * @throws StepError
+   * @param check Called with the response head; an error that it throws destroys
+   *     the connection, so that the rest of a rejected response is never read as
+   *     the next one.
+   * @throws StepError with the fate of the request.
    * @example
    * ```ts
-   * const {status} = await peer.exchange({step: 'give order', …});
+   * const {status} = await peer.exchange({step: 'send an order', …});
    * ```
    */
   async exchange(
     exchange: Exchange,
     check?: (answer: OpenAnswer) => void,
-  ): Promise<WholeAnswer> {
+  ): Promise<BufferedResponse> {
     const answer = await this.open(exchange);
     try {
       check?.(answer);
@@ -164,7 +165,7 @@
     }
   }
 
-  /** Destroys every connection; exchanges in progress fail. */
+  /** Closes every connection; exchanges in progress fail. */
   close(): Promise<void> {
     this.agent.destroy();
     return Promise.resolve();
--- a/packages/platform/src/http-plain-service.ts
+++ b/packages/platform/src/http-plain-service.ts
@@ -4,7 +4,7 @@
   DEFAULT_ENDPOINT_OPTIONS,
   type HttpEndpointOptions,
 } from './http-endpoint-options.js';
-import {HttpPeer, type WholeAnswer} from './http-peer.js';
+import {HttpPeer, type BufferedResponse} from './http-peer.js';
 import {
   PlainService,
   PlainServiceFactory,
@@ -18,7 +18,7 @@
 const CALL_STEP = 'call a plain service';
 const OUTCOME_STEP = 'look up an outcome';
 
-function toAnswer(answer: WholeAnswer): PlainAnswer {
+function toAnswer(answer: BufferedResponse): PlainAnswer {
   const contentType = answer.headers['content-type'];
   return {
     status: answer.status,
@@ -35,7 +35,7 @@
   private readonly peer: HttpPeer;
 
   /**
-   * @param endpoint Name of the endpoint, for errors.
+   * @param endpoint Name of the endpoint in errors.
    * @param address `IP:port`.
    */
   constructor(
@@ -108,7 +108,7 @@
   }
 }
 
-/** Makes clients of plain services that are served over HTTP. */
+/** Creates clients of plain services that are reached over HTTP. */
 export class HttpPlainServiceFactory extends PlainServiceFactory {
   /**
    * @example
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Everything outside the system, each behind one abstract class: replacing an
- * adapter touches this package only.
+ * Interfaces to external systems, each behind one abstract class: replacing an
+ * adapter changes only this package.
  */
 export * from './clock.js';
 export {
--- a/packages/platform/src/log-client.ts
+++ b/packages/platform/src/log-client.ts
@@ -1,36 +1,36 @@
-/** One record of a stream of the platform's log. */
+/** One record of a stream in the platform's log. */
 export interface LogRecord {
   readonly offset: number;
   readonly payload: Uint8Array;
-  /** The platform's wall clock, in milliseconds since 1970; for people only. */
+  /** The platform's wall clock, in milliseconds since 1970; only for display. */
   readonly appendedAtMilliseconds: number;
 }
 
-/** What one read returned. */
+/** The result of one read. */
 export interface LogPage {
   readonly records: readonly LogRecord[];
-  /** The oldest offset still kept; a reader behind it needs a checkpoint. */
+  /** Oldest retained offset; a reader that is behind it needs a checkpoint. */
   readonly firstOffset: number;
-  /** Where the next read starts. */
+  /** Offset at which the next read starts. */
   readonly nextOffset: number;
-  /** The offset that the next append will get, as far as the platform told. */
+  /** Offset of the next append, as the platform reported it; it may have advanced since. */
   readonly endOffset: number;
 }
 
 /**
  * The platform's append-only log service.
  *
- * An append that failed with an unknown fate may stand on the log: the caller
- * reads on until its own identifier appears, and may append again, since every
- * fold ignores the second copy of an identifier.
+ * A record whose append failed with an unknown fate may be in the log. Its writer reads
+ * on until its own identifier appears, and may append again, since every fold ignores
+ * the second copy of an identifier.
  */
 export abstract class LogClient {
   /**
    * Appends one record.
    *
-   * @returns The offset that the platform answered. No verdict may rest on it:
-   *     verdicts come from folding what is read.
-   * @throws StepError whose fate says whether the record may stand on the log.
+   * @returns The offset that the platform reported. Verdicts must not depend on it;
+   *     they come from folding the records that are read.
+   * @throws StepError whose fate says whether the record may be in the log.
    * @example
    * ```ts
    * const offset = await log.append('configuration', payload, signal);
@@ -43,10 +43,12 @@
   ): Promise<number>;
 
   /**
-   * Reads from an offset on; waits up to `waitMilliseconds` for the first new
-   * record where there is none.
+   * Reads records from an offset on. If there are none, waits up to
+   * `waitMilliseconds` for the first one.
    *
-   * @throws StepError with fate NotDone when the platform can't be reached.
+   * @param limit Maximum number of records.
+   *
+   * @throws StepError with fate NotDone when no usable response was read.
    * @example
    * ```ts
    * const page = await log.read('ledger-0', 120, 500, 1_000);
@@ -60,6 +62,6 @@
     signal?: AbortSignal,
   ): Promise<LogPage>;
 
-  /** Ends open connections. Calls in progress fail with fate Unknown. */
+  /** Closes open connections. Calls in progress fail with fate Unknown. */
   abstract close(): Promise<void>;
 }
--- a/packages/platform/src/model-engine.ts
+++ b/packages/platform/src/model-engine.ts
@@ -4,18 +4,18 @@
   readonly content: string;
 }
 
-/** A completion as the engine is asked for it. */
+/** A completion request to an engine. */
 export interface CompletionRequest {
   readonly attemptId: string;
   readonly model: string;
   readonly messages: readonly ChatMessage[];
-  /** The engine generates at most this many tokens. */
+  /** Maximum number of tokens that the engine generates. */
   readonly maximumOutputTokens: number;
-  /** Lower runs first. */
+  /** Requests with a lower value run first. */
   readonly priority: number;
 }
 
-/** Usage as the engine counted it. */
+/** Token usage as counted by the engine. */
 export interface EngineUsage {
   readonly promptTokens: number;
   readonly completionTokens: number;
@@ -23,60 +23,60 @@
 
 /** One event of an engine's stream. */
 export interface EngineEvent {
-  /** Counts from 0 within the attempt; the same again after a resume. */
+  /** Index of the event within the attempt, from 0; a resumed stream keeps the numbering. */
   readonly index: number;
   /** The text of the chunk. */
   readonly text: string;
 }
 
-/** Why a finished stream ended. */
+/** Why a stream finished. */
 export enum FinishReason {
   Stop = 'stop',
   Length = 'length',
   Cancelled = 'cancelled',
 }
 
-/** What the end mark of a stream says. */
+/** Finish reason and usage of a complete stream. */
 export interface EngineEnd {
   readonly finishReason: FinishReason;
   readonly usage: EngineUsage;
 }
 
 /**
- * A running stream. Iterate over `events`; only a stream whose iteration ended
- * without an error, and whose `end` is then set, is complete.
+ * A stream of a running attempt. It is complete only if the iteration over `events`
+ * ended without an error and `end` is set afterwards.
  */
 export interface EngineStream {
   readonly attemptId: string;
   readonly events: AsyncIterable<EngineEvent>;
-  /** Set after the end mark was read. */
+  /** Set after the end marker was read. */
   readonly end: EngineEnd | undefined;
-  /** Drops the connection without cancelling the work at the engine. */
+  /** Closes the connection without cancelling the attempt at the engine. */
   detach(): void;
 }
 
-/** What an engine says of an attempt. */
+/** Status of an attempt as the engine reports it. */
 export interface AttemptStatus {
   readonly known: boolean;
   readonly finished: boolean;
-  /** Usage so far, or in all when finished. */
+  /** Usage so far, or total usage if the attempt has finished. */
   readonly usage: EngineUsage;
 }
 
-/** An engine's own report; it lags. */
+/** An engine's load report; it lags behind the actual load. */
 export interface EngineLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** True once the engine itself says that it is leaving. */
+  /** True once the engine reports that it is leaving. */
   readonly leaving: boolean;
   /** Hashes of cached prompt prefixes announced since `cacheSequence`. */
   readonly cachedPrefixes: readonly string[];
-  /** Rises with each cache event; a step of more than one is a gap. */
+  /** Increases by one with each cache event; a larger increase means that events were missed. */
   readonly cacheSequence: number;
 }
 
-/** What an order changes at an engine. */
+/** Which property of an engine an order changes. */
 export enum EngineOrderKind {
   LoadModel = 'load-model',
   LoadAdapter = 'load-adapter',
@@ -84,25 +84,25 @@
   ChangeRole = 'change-role',
 }
 
-/** An order to an engine. */
+/** A management order to an engine. */
 export interface EngineOrder {
   readonly kind: EngineOrderKind;
   readonly subject: string;
-  /** Some deployments refuse a lower one than they have seen; others ignore it. */
+  /** Some deployments refuse a number lower than the highest they have received; others ignore it. */
   readonly fencingNumber: number;
   readonly weightTicket?: string;
 }
 
 /**
- * One model engine. Every answer repeats the attempt identifier; an answer with
- * another one is an error that destroys the connection.
+ * Client of one model engine. Every response echoes the attempt identifier; a response
+ * with another identifier is an error that destroys the connection.
  */
 export abstract class ModelEngine {
   /**
    * Starts a completion.
    *
-   * @throws StepError with fate NotDone only when the request certainly did not
-   *     reach the engine (connection refused, or the engine refused it).
+   * @throws StepError with fate NotDone only if the engine certainly did not run the
+   *     request (the connection failed, or the engine refused the request).
    * @example
    * ```ts
    * const stream = await engine.start(request, signal);
@@ -115,10 +115,10 @@
   ): Promise<EngineStream>;
 
   /**
-   * Continues reading an attempt after the event `afterIndex` (-1: from the
+   * Resumes reading the events of an attempt after event `afterIndex` (-1: from the
    * start).
    *
-   * @throws StepError with fate NotDone where the engine does not know it.
+   * @throws StepError with fate NotDone if the engine does not know the attempt.
    */
   abstract resume(
     attemptId: string,
@@ -126,33 +126,34 @@
     signal?: AbortSignal,
   ): Promise<EngineStream>;
 
-  /** Stops an attempt; the status says what it used. */
+  /** Cancels an attempt and returns its status with the usage so far. */
   abstract cancel(
     attemptId: string,
     signal?: AbortSignal,
   ): Promise<AttemptStatus>;
 
-  /** Asks what became of an attempt. */
+  /** Gets the status of an attempt. */
   abstract status(
     attemptId: string,
     signal?: AbortSignal,
   ): Promise<AttemptStatus>;
 
-  /** Reads the engine's lagging load report. */
+  /** Reads the engine's load report. */
   abstract load(signal?: AbortSignal): Promise<EngineLoad>;
 
   /**
-   * Gives an order.
+   * Sends an order.
    *
-   * @returns False where the engine refused an old fencing number.
+   * @returns False if the engine refused the order because its fencing number is
+   *     outdated.
    */
   abstract order(order: EngineOrder, signal?: AbortSignal): Promise<boolean>;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): Promise<void>;
 }
 
-/** Makes the client of an engine from its address. */
+/** Creates the client of an engine from its address. */
 export abstract class ModelEngineFactory {
   /** @param address `IP:port`. */
   abstract connect(endpoint: string, address: string): ModelEngine;
--- a/packages/platform/src/network-timeout.ts
+++ b/packages/platform/src/network-timeout.ts
@@ -1,8 +1,8 @@
 /**
  * A timeout for data that is expected from the network.
  *
- * After the event loop was blocked, it runs expired timers before it reads sockets. The
- * action is deferred until after that read, which may refresh or close the timeout.
+ * After the event loop was blocked, Node.js runs expired timers before it reads sockets.
+ * The action is deferred until after that read, which may refresh or close the timeout.
  *
  * @example
  * ```ts
--- a/packages/platform/src/partitioned-log.ts
+++ b/packages/platform/src/partitioned-log.ts
@@ -6,37 +6,40 @@
   readonly partition: number;
 }
 
-/** Records that follow each other, and what the partition holds. */
+/** Consecutive records, with the range of offsets that the partition retains. */
 export interface RecordRange {
   /** Offset of the first of `records`. */
   readonly offset: number;
   readonly records: readonly Uint8Array[];
-  /** Offset that the next append gets. */
+  /** Offset of the next append. */
   readonly end: number;
-  /** Oldest offset still kept. */
+  /** Oldest retained offset. */
   readonly first: number;
 }
 
 /** The newest record of one key. */
 export interface KeyedRecord {
   readonly key: string;
-  /** Undefined where the key was dropped. */
+  /** Undefined if the key was deleted. */
   readonly value: Uint8Array | undefined;
   readonly offset: number;
 }
 
-/** The newest records of a partition's keys; no snapshot. */
+/**
+ * The newest record of each key of a partition. The records are not a snapshot: they may
+ * be from different times.
+ */
 export interface NewestRecords {
   readonly items: readonly KeyedRecord[];
-  /** Reading on from here misses nothing that the items lack. */
+  /** Reading from this offset on returns every change that the items do not include. */
   readonly resumeAt: number;
 }
 
-/** The records asked for are no longer kept. */
+/** The requested records are no longer retained. */
 export class RecordsDroppedError extends Error {
   override readonly name: string = 'RecordsDroppedError';
 
-  /** @param first Oldest offset still kept. */
+  /** @param first Oldest retained offset. */
   constructor(
     readonly partition: Partition,
     readonly first: number,
@@ -46,15 +49,15 @@
 }
 
 /**
- * A log of topics with partitions, shared by all hosts. Offsets number the records
- * of a partition without gaps and are the only order that everyone shares.
+ * A log with partitioned topics, shared by all hosts. Offsets number the records of a
+ * partition without gaps; they are the only order on which all hosts agree.
  */
 export abstract class PartitionedLog {
-  /** The link that answers to this host cross. */
+  /** The link over which responses reach this host. */
   protected link: HostLink = new FreeLink();
 
   /**
-   * Answers cross this link from now on: calls wait longer while it is full.
+   * Sets the link over which responses arrive: timeouts are longer while it is full.
    *
    * @example
    * ```ts
@@ -66,10 +69,10 @@
   }
 
   /**
-   * Appends all records or none.
+   * Appends either all records or none.
    *
    * @returns Offset of the first record.
-   * @throws StepError whose fate says whether the records may stand on the log.
+   * @throws StepError whose fate says whether the records may be in the log.
    */
   abstract append(
     partition: Partition,
@@ -77,11 +80,11 @@
   ): Promise<number>;
 
   /**
-   * Reads from an offset on; waits up to `waitMilliseconds` for a record where
-   * there is none.
+   * Reads records from an offset on. If there are none, waits up to
+   * `waitMilliseconds` for one.
    *
-   * @throws RecordsDroppedError where `from` is no longer kept.
-   * @throws StepError where the store gave no usable answer.
+   * @throws RecordsDroppedError if the record at `from` is no longer retained.
+   * @throws StepError if the store returned no usable response.
    */
   abstract read(
     partition: Partition,
@@ -90,25 +93,30 @@
   ): Promise<RecordRange>;
 
   /**
-   * The newest record of each key of a keyed topic.
+   * Reads the newest record of each key of a keyed topic.
    *
-   * @throws StepError where the store gave no usable answer.
+   * @throws StepError if the store returned no usable response.
    */
   abstract newest(partition: Partition): Promise<NewestRecords>;
 
-  /** Appends one keyed record to a keyed topic; undefined drops the key. */
+  /**
+   * Appends a record to a keyed topic; the value undefined deletes the key.
+   *
+   * @returns Offset of the record.
+   * @throws StepError whose fate says whether the record may be in the log.
+   */
   abstract put(
     partition: Partition,
     key: string,
     value: Uint8Array | undefined,
   ): Promise<number>;
 
-  /** Splits a record of a keyed topic; undefined where it isn't one. */
+  /** Decodes a record of a keyed topic; undefined if the bytes are not a keyed record. */
   abstract keyedRecord(
     offset: number,
     record: Uint8Array,
   ): KeyedRecord | undefined;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): void;
 }
--- a/packages/platform/src/plain-service.ts
+++ b/packages/platform/src/plain-service.ts
@@ -1,4 +1,4 @@
-/** A call as the service is asked for it. */
+/** A call to a plain service. */
 export interface PlainCall {
   readonly attemptId: string;
   readonly requestId: string;
@@ -9,7 +9,7 @@
   readonly body: Uint8Array;
 }
 
-/** A service's whole answer. */
+/** A complete response of a plain service. */
 export interface PlainAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -17,15 +17,15 @@
 }
 
 /**
- * One endpoint of a plain service. It echoes the attempt identifier; an answer
- * with another one is an error that destroys the connection.
+ * Client of one endpoint of a plain service. The endpoint echoes the attempt identifier;
+ * a response with another identifier is an error that destroys the connection.
  */
 export abstract class PlainService {
   /**
-   * Makes one call and reads the whole answer.
+   * Sends a call and reads the complete response.
    *
-   * @throws StepError with fate NotDone only when the call certainly did not
-   *     reach the service.
+   * @throws StepError with fate NotDone only if the call certainly did not reach
+   *     the service.
    * @example
    * ```ts
    * const answer = await service.call(call, signal);
@@ -34,9 +34,10 @@
   abstract call(call: PlainCall, signal?: AbortSignal): Promise<PlainAnswer>;
 
   /**
-   * Looks up the outcome of an earlier call where the service offers it.
+   * Looks up the outcome of an earlier call, if the service supports it.
    *
-   * @returns Undefined where the service knows nothing of the request.
+   * @returns Undefined if the service does not know the request.
+   * @throws StepError if the lookup failed.
    */
   abstract outcome(
     path: string,
@@ -44,11 +45,11 @@
     signal?: AbortSignal,
   ): Promise<PlainAnswer | undefined>;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): Promise<void>;
 }
 
-/** Makes the client of a plain service's endpoint from its address. */
+/** Creates the client of a plain service's endpoint from its address. */
 export abstract class PlainServiceFactory {
   /** @param address `IP:port`. */
   abstract connect(endpoint: string, address: string): PlainService;
--- a/packages/platform/src/random-source.ts
+++ b/packages/platform/src/random-source.ts
@@ -1,10 +1,10 @@
 /**
- * Randomness, behind a class so that tests can seed it.
+ * Source of random values; tests replace it with a seeded one.
  */
 export abstract class RandomSource {
-  /** A fresh identifier of 128 random bits in lower-case hexadecimal. */
+  /** A new identifier of 128 random bits in lower-case hexadecimal. */
   abstract identifier(): string;
 
-  /** A number from 0 (included) to 1 (excluded). */
+  /** A random number from 0 (inclusive) to 1 (exclusive). */
   abstract fraction(): number;
 }
--- a/packages/platform/src/step-error.ts
+++ b/packages/platform/src/step-error.ts
@@ -1,15 +1,15 @@
 /**
- * What is known of an operation that ended with an error.
+ * Whether a failed operation may have taken effect.
  */
 export enum Fate {
-  /** It certainly had no effect. */
+  /** The operation certainly had no effect. */
   NotDone = 'not-done',
-  /** It may have had its effect: the answer was lost or came too late. */
+  /** The operation may have taken effect: its response was lost or came too late. */
   Unknown = 'unknown',
 }
 
 /**
- * An error that names the step and the peer at which it arose.
+ * An error with the operation that failed, its peer and its fate.
  *
  * @example
  * ```ts
@@ -20,10 +20,10 @@
   override readonly name: string = 'StepError';
 
   /**
-   * @param step What was being done, in words for an operator's log line.
-   * @param peer The other side: an address, a stream, an endpoint's name.
-   * @param fate Whether the step may have had its effect.
-   * @param reason What went wrong.
+   * @param step Name of the operation, as log lines show it.
+   * @param peer The remote peer: an address, a stream or the name of an endpoint.
+   * @param fate Whether the operation may have taken effect.
+   * @param reason Cause of the failure.
    */
   constructor(
     readonly step: string,
--- a/packages/platform/src/test/http-adapters_test.ts
+++ b/packages/platform/src/test/http-adapters_test.ts
@@ -18,7 +18,7 @@
   type EngineStream,
 } from '../index.js';
 
-const LIMITS = {
+const TIMEOUTS = {
   connectTimeoutMilliseconds: 500,
   responseTimeoutMilliseconds: 500,
   idleTimeoutMilliseconds: 500,
@@ -58,18 +58,18 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function chunk(id: string, index: number, text: string): string {
+function chunkEvent(id: string, index: number, text: string): string {
   const choices = [{index: 0, delta: {content: text}, finish_reason: null}];
   return `id: ${index}\ndata: ${JSON.stringify({id, choices})}\n\n`;
 }
 
-function usage(id: string): string {
+function usageAndEndMarker(id: string): string {
   const counted = {prompt_tokens: 1, completion_tokens: 2, total_tokens: 3};
   const end = JSON.stringify({id, choices: [], usage: counted});
   return `data: ${end}\n\ndata: [DONE]\n\n`;
 }
 
-function streamOf(attemptId: string, body: string): Handler {
+function streamHandler(attemptId: string, body: string): Handler {
   return (_request, response) => {
     response.writeHead(200, {
       'content-type': 'text/event-stream',
@@ -79,15 +79,15 @@
   };
 }
 
-async function texts(stream: EngineStream): Promise<string[]> {
-  const seen: string[] = [];
+async function readTexts(stream: EngineStream): Promise<string[]> {
+  const received: string[] = [];
   for await (const event of stream.events) {
-    seen.push(event.text);
+    received.push(event.text);
   }
-  return seen;
+  return received;
 }
 
-async function failure(promise: Promise<unknown>): Promise<StepError> {
+async function rejection(promise: Promise<unknown>): Promise<StepError> {
   const error: unknown = await promise.then(
     () => undefined,
     (reason: unknown) => reason,
@@ -96,17 +96,18 @@
   return error as StepError;
 }
 
-async function engineAt(handler: Handler) {
+async function connectEngine(handler: Handler) {
   const address = await serve(handler);
-  return new HttpModelEngineFactory(LIMITS).connect('engine-1', address);
+  return new HttpModelEngineFactory(TIMEOUTS).connect('engine-1', address);
 }
 
-test('a stream is complete with its end mark and usage', async () => {
+test('a stream with usage and end marker is complete', async () => {
   const id = REQUEST.attemptId;
-  const body = chunk(id, 0, 'a ') + chunk(id, 1, 'b ') + usage(id);
-  const engine = await engineAt(streamOf(id, body));
+  const body =
+    chunkEvent(id, 0, 'a ') + chunkEvent(id, 1, 'b ') + usageAndEndMarker(id);
+  const engine = await connectEngine(streamHandler(id, body));
   const stream = await engine.start(REQUEST);
-  expect(await texts(stream)).toEqual(['a ', 'b ']);
+  expect(await readTexts(stream)).toEqual(['a ', 'b ']);
   expect(stream.end).toEqual({
     finishReason: FinishReason.Stop,
     usage: {promptTokens: 1, completionTokens: 2},
@@ -114,111 +115,123 @@
   await engine.close();
 });
 
-test('a stream that ends without its end mark is an error', async () => {
-  // The engine's connection ends in good order after half an answer. Without
-  // the end mark the caller would be given half an answer as the whole one.
+test('a stream that ends without its end marker is an error', async () => {
+  // Guards against truncated responses that pass for complete ones: the engine closes
+  // its connection without an error in the middle of a response.
   const id = REQUEST.attemptId;
-  const engine = await engineAt(streamOf(id, chunk(id, 0, 'a ')));
+  const engine = await connectEngine(
+    streamHandler(id, chunkEvent(id, 0, 'a ')),
+  );
   const stream = await engine.start(REQUEST);
-  const error = await failure(texts(stream));
+  const error = await rejection(readTexts(stream));
   expect(error.reason).toContain('end mark');
   expect(stream.end).toBeUndefined();
   await engine.close();
 });
 
-test('an answer of another attempt is refused at its head', async () => {
-  // Two answers are crossed at the engine. Without the check one caller would
-  // read the other's answer; no byte of the body may be handed on.
+test('a response of another attempt is rejected by its head', async () => {
+  // Guards against a caller that gets another caller's response after the engine
+  // mixed up two responses; no byte of the body may be delivered.
   const other = 'req_2.0';
-  const body = chunk(other, 0, 'secret ') + usage(other);
-  const engine = await engineAt(streamOf(other, body));
-  const error = await failure(engine.start(REQUEST));
+  const body = chunkEvent(other, 0, 'secret ') + usageAndEndMarker(other);
+  const engine = await connectEngine(streamHandler(other, body));
+  const error = await rejection(engine.start(REQUEST));
   expect(error.fate).toBe(Fate.Unknown);
   expect(error.message).toContain(other);
   await engine.close();
 });
 
-test('a chunk of another attempt ends the stream', async () => {
-  // The head is right, but a later chunk belongs to another attempt: what came
-  // before it stays right, nothing of the other answer is handed on.
+test('a chunk of another attempt makes the stream fail', async () => {
+  // Guards against a caller that gets part of another caller's response: the head is
+  // correct, but a later chunk belongs to another attempt. Only the chunks before it
+  // are delivered.
   const id = REQUEST.attemptId;
-  const body = chunk(id, 0, 'a ') + chunk('req_2.0', 1, 'secret ') + usage(id);
-  const engine = await engineAt(streamOf(id, body));
+  const body =
+    chunkEvent(id, 0, 'a ') +
+    chunkEvent('req_2.0', 1, 'secret ') +
+    usageAndEndMarker(id);
+  const engine = await connectEngine(streamHandler(id, body));
   const stream = await engine.start(REQUEST);
-  const seen: string[] = [];
-  const error = await failure(
+  const received: string[] = [];
+  const error = await rejection(
     (async () => {
       for await (const event of stream.events) {
-        seen.push(event.text);
+        received.push(event.text);
       }
     })(),
   );
   expect(error.message).toContain('req_2.0');
-  expect(seen).toEqual(['a ']);
+  expect(received).toEqual(['a ']);
   await engine.close();
 });
 
-test('a refused connection proves that nothing was done', async () => {
+test('a refused connection has the fate NotDone', async () => {
   const address = await serve(() => undefined);
   const server = servers.pop();
   await new Promise(resolve => server?.close(resolve));
-  const engine = new HttpModelEngineFactory(LIMITS).connect(
+  const engine = new HttpModelEngineFactory(TIMEOUTS).connect(
     'engine-1',
     address,
   );
-  const service = new HttpPlainServiceFactory(LIMITS).connect('app-1', address);
+  const service = new HttpPlainServiceFactory(TIMEOUTS).connect(
+    'app-1',
+    address,
+  );
   const log = new HttpLogClient({
     url: `http://${address}`,
     timeoutMilliseconds: 500,
   });
-  expect((await failure(engine.start(REQUEST))).fate).toBe(Fate.NotDone);
-  expect((await failure(service.call(CALL))).fate).toBe(Fate.NotDone);
+  expect((await rejection(engine.start(REQUEST))).fate).toBe(Fate.NotDone);
+  expect((await rejection(service.call(CALL))).fate).toBe(Fate.NotDone);
   const append = log.append('ledger-0', Buffer.from('x'));
-  expect((await failure(append)).fate).toBe(Fate.NotDone);
+  expect((await rejection(append)).fate).toBe(Fate.NotDone);
 });
 
-test('an answer that does not come leaves the fate unknown', async () => {
-  // The call may have run and its answer be lost: had it the fate NotDone, a
-  // router would run a certificate's issue a second time.
+test('a missing response has the fate Unknown', async () => {
+  // Guards against a router that issues a certificate twice: the call may have run and
+  // its response may have been lost, so its fate must not be NotDone.
   const address = await serve(() => undefined);
-  const service = new HttpPlainServiceFactory(LIMITS).connect('app-1', address);
+  const service = new HttpPlainServiceFactory(TIMEOUTS).connect(
+    'app-1',
+    address,
+  );
   const log = new HttpLogClient({
     url: `http://${address}`,
     timeoutMilliseconds: 200,
   });
-  expect((await failure(service.call(CALL))).fate).toBe(Fate.Unknown);
+  expect((await rejection(service.call(CALL))).fate).toBe(Fate.Unknown);
   const append = log.append('ledger-0', Buffer.from('x'));
-  expect((await failure(append)).fate).toBe(Fate.Unknown);
+  expect((await rejection(append)).fate).toBe(Fate.Unknown);
   await service.close();
   await log.close();
 });
 
-test('a crossed plain answer destroys its connection', async () => {
-  // The service answers with another attempt's identifier, once. The next call
-  // must not reuse that connection, where the rest of the wrong answer may
-  // still arrive; the connection is closed, not left open.
+test('a plain response of another attempt destroys its connection', async () => {
+  // Guards against a call that reads the rest of an earlier, wrong response. The service
+  // responds once with another attempt's identifier; the connection must be closed, and
+  // the next call must use a new one.
   const ports: (number | undefined)[] = [];
   let firstClosed = Promise.resolve();
   const address = await serve((request, response) => {
     ports.push(request.socket.remotePort);
-    const crossed = ports.length === 1;
-    if (crossed) {
+    const isMismatched = ports.length === 1;
+    if (isMismatched) {
       firstClosed = new Promise(resolve => {
         request.socket.once('close', () => {
           resolve();
         });
       });
     }
-    const echoed = crossed ? 'req_9.9' : CALL.attemptId;
+    const echoed = isMismatched ? 'req_9.9' : CALL.attemptId;
     response.writeHead(200, {'x-attempt-id': echoed});
     response.end('answer');
   });
-  // A limit longer than the test's own, so that no timeout closes it instead.
+  // Longer than the test's timeout, so that no response timeout closes the connection.
   const service = new HttpPlainServiceFactory({
-    ...LIMITS,
+    ...TIMEOUTS,
     responseTimeoutMilliseconds: 60_000,
   }).connect('app-1', address);
-  expect((await failure(service.call(CALL))).fate).toBe(Fate.Unknown);
+  expect((await rejection(service.call(CALL))).fate).toBe(Fate.Unknown);
   await firstClosed;
   const answer = await service.call(CALL);
   expect(Buffer.from(answer.body).toString()).toBe('answer');
--- a/packages/platform/src/test/http-caller_test.ts
+++ b/packages/platform/src/test/http-caller_test.ts
@@ -13,40 +13,40 @@
   timeouts: {connect: 300, total: 300},
 };
 
-/** A host's link at which all that comes in waits for long. */
-class FullLink extends FreeLink {
+/** A link that delays inbound data for longer than any timeout. */
+class CongestedLink extends FreeLink {
   override readonly delayMilliseconds = 5_000;
 }
 
 let server: Server | undefined;
-let caller: HttpCaller | undefined;
+let client: HttpCaller | undefined;
 
-async function callerOf(handler: Handler): Promise<HttpCaller> {
+async function startPeer(handler: Handler): Promise<HttpCaller> {
   const listening = createServer(handler);
   server = listening;
   await new Promise<void>(resolve => listening.listen(0, '127.0.0.1', resolve));
   const {port} = listening.address() as AddressInfo;
-  caller = new HttpCaller('127.0.0.1', port, 'store');
-  return caller;
+  client = new HttpCaller('127.0.0.1', port, 'store');
+  return client;
 }
 
 function blockEventLoop(milliseconds: number): void {
-  const until = performance.now() + milliseconds;
-  while (performance.now() < until) {
+  const blockedUntil = performance.now() + milliseconds;
+  while (performance.now() < blockedUntil) {
     // Busy-wait, so that no timer or socket callback runs.
   }
 }
 
 afterEach(() => {
-  caller?.close();
+  client?.close();
   server?.closeAllConnections();
   server?.close();
 });
 
 describe('HttpCaller', () => {
-  it('sends what it is given and reads the whole answer, whatever its status', async () => {
-    const {call} = bound(
-      await callerOf((request, response) => {
+  it('sends the request and reads the complete response, whatever its status', async () => {
+    const {call} = bindCall(
+      await startPeer((request, response) => {
         const chunks: Buffer[] = [];
         request.on('data', (chunk: Buffer) => chunks.push(chunk));
         request.on('end', () => {
@@ -62,10 +62,10 @@
     expect(answer.body.toString()).toBe('POST /records?from=3 records');
   });
 
-  it('keeps its connection for the next call', async () => {
+  it('reuses its connection for the next call', async () => {
     let connections = 0;
-    const {call} = bound(
-      await callerOf((_request, response) => {
+    const {call} = bindCall(
+      await startPeer((_request, response) => {
         response.end('x');
       }),
     );
@@ -76,8 +76,8 @@
     expect(connections).toBe(1);
   });
 
-  it('says that nothing was done where nobody listens', async () => {
-    const {call} = bound(new HttpCaller('127.0.0.1', 1, 'store'));
+  it('fails with the fate NotDone if the connection is refused', async () => {
+    const {call} = bindCall(new HttpCaller('127.0.0.1', 1, 'store'));
     await expect(call(CALL)).rejects.toMatchObject({
       name: 'StepError',
       step: 'read',
@@ -86,10 +86,10 @@
     });
   });
 
-  it('reads an answer that arrived while the event loop was blocked', async () => {
-    // Guards against a timeout when the answer is already in the socket.
-    const {call} = bound(
-      await callerOf((_request, response) => {
+  it('reads a response that arrived while the event loop was blocked', async () => {
+    // Guards against a timeout although the response is already in the socket.
+    const {call} = bindCall(
+      await startPeer((_request, response) => {
         response.end('answer');
         blockEventLoop(2 * CALL.timeouts.total);
       }),
@@ -98,11 +98,12 @@
     expect(body.toString()).toBe('answer');
   });
 
-  it('does not know what became of a call whose answer does not come', async () => {
-    // A store that hangs: the call ends at its limit, and may have had its effect.
+  it('fails with the fate Unknown if no response arrives in time', async () => {
+    // Guards against calls to a hanging store that never end, or that count as not done
+    // although the store may have executed them.
     let isClosed = false;
-    const {call} = bound(
-      await callerOf(request => {
+    const {call} = bindCall(
+      await startPeer(request => {
         request.socket.on('close', () => {
           isClosed = true;
         });
@@ -114,18 +115,18 @@
     await expect.poll(() => isClosed).toBe(true);
   });
 
-  it('notices a silent peer soon also while the host’s link is full', async () => {
-    // Guards against changes of the store that a host learns of seconds too late.
-    const {call} = bound(await callerOf(() => undefined));
+  it('bounds the timeout for an unresponsive peer while the host’s link is full', async () => {
+    // Guards against a host that receives changes from the store seconds too late.
+    const {call} = bindCall(await startPeer(() => undefined));
     const startedAt = performance.now();
-    await expect(call({...CALL, link: new FullLink()})).rejects.toThrow();
+    await expect(call({...CALL, link: new CongestedLink()})).rejects.toThrow();
     expect(performance.now() - startedAt).toBeLessThan(3_000);
   });
 
-  it('takes no answer for whole whose connection was cut', async () => {
-    // Half of the records would be taken for all of them.
-    const {call} = bound(
-      await callerOf((_request, response) => {
+  it('rejects a response whose connection closed before its end', async () => {
+    // Guards against a truncated list of records that passes for the complete one.
+    const {call} = bindCall(
+      await startPeer((_request, response) => {
         response.writeHead(200, {'content-length': '100'});
         response.write('half');
         setTimeout(() => response.destroy(), 20);
@@ -134,8 +135,8 @@
     await expect(call(CALL)).rejects.toMatchObject({fate: Fate.Unknown});
   });
 
-  it('fails its open calls when it is closed', async () => {
-    const peer = await callerOf(() => undefined);
+  it('makes pending calls fail when it is closed', async () => {
+    const peer = await startPeer(() => undefined);
     const open = peer.call({...CALL, timeouts: {connect: 300, total: 9_000}});
     const closed = expect(open).rejects.toMatchObject({fate: Fate.Unknown});
     await new Promise(resolve => setTimeout(resolve, 50));
@@ -144,6 +145,6 @@
   });
 });
 
-function bound(peer: HttpCaller) {
+function bindCall(peer: HttpCaller) {
   return {call: (call: HttpCall) => peer.call(call)};
 }
--- a/packages/platform/src/weight-store.ts
+++ b/packages/platform/src/weight-store.ts
@@ -1,16 +1,16 @@
-/** What one fetch of weights took. */
+/** Permission to fetch weights once. */
 export interface WeightTicket {
-  /** Hand this to the engine's order; the engine fetches with it. */
+  /** Token to include in an engine order; the engine fetches the weights with it. */
   readonly ticket: string;
 }
 
 /** The platform's rate-limited store of model weights. */
 export abstract class WeightStore {
   /**
-   * Asks for leave to fetch weights.
+   * Requests a ticket to fetch weights.
    *
-   * @returns The ticket, or the milliseconds to wait where the limit is reached.
-   * @throws StepError when the store can't be reached.
+   * @returns The ticket, or the milliseconds to wait if the rate limit is reached.
+   * @throws StepError if the store returned no usable response.
    * @example
    * ```ts
    * const answer = await weightStore.requestTicket('tutor-7b');
@@ -21,6 +21,6 @@
     signal?: AbortSignal,
   ): Promise<WeightTicket | {readonly retryAfterMilliseconds: number}>;
 
-  /** Ends open connections. */
+  /** Closes open connections. */
   abstract close(): Promise<void>;
 }
