--- a/packages/ledger/src/bill-rules.ts
+++ b/packages/ledger/src/bill-rules.ts
@@ -10,23 +10,23 @@
 } from '@wisteriadeal/schema';
 
 import {applyTransfer} from './grant-rules.js';
-import {heldGrant, openGrant} from './open-grant.js';
+import {findOpenGrant, findOpenGrantOfHolder} from './find-open-grant.js';
 import {spareTokens, type OrganisationBooks} from './organisation-books.js';
 import {isTokenAmount} from './tokens.js';
-import {RefusalReason, VerdictKind, type Ruling} from './verdict.js';
+import {RefusalReason, VerdictKind, type EntryOutcome} from './verdict.js';
 
 /**
- * Bills a request; the first bill of a request identifier counts.
+ * Bills a request. Only the first bill of a request identifier counts.
  *
- * A bill can reach the log before the record of the transfer that made its
- * grant, when the transfer happened in a partition: the grant is then kept as
- * announced. Even so, no sum of bills passes what was credited.
+ * After a partition, a bill can precede the record of the transfer that created
+ * its grant. The grant is then added as announced. In every case the sum of all
+ * bills is limited to the credited tokens.
  */
 export function applyBill(
   books: OrganisationBooks,
   bill: Bill,
   offset: number,
-): Ruling {
+): EntryOutcome {
   if (!isTokenAmount(bill.tokens)) {
     return RefusalReason.InvalidAmount;
   }
@@ -39,27 +39,28 @@
   if (books.billedTokens + bill.tokens > books.creditedTokens) {
     return RefusalReason.GrantTooSmall;
   }
-  const grant = books.grants.get(bill.grantId) ?? books.announce(bill.grantId);
-  return charge(books, grant, bill, offset);
+  const grant =
+    books.grants.get(bill.grantId) ?? books.addAnnouncedGrant(bill.grantId);
+  return chargeGrant(books, grant, bill, offset);
 }
 
-function charge(
+function chargeGrant(
   books: OrganisationBooks,
   grant: GrantState,
   bill: Bill,
   offset: number,
-): Ruling {
+): EntryOutcome {
   const inherited = grant.inherited.find(
     open => open.requestId === bill.requestId,
   );
   if (inherited === undefined && grant.closed) {
     return RefusalReason.NotInherited;
   }
-  const limit =
+  const billableTokens =
     inherited !== undefined && grant.closed
       ? Math.min(inherited.boundTokens, grant.tokens - grant.billedTokens)
       : spareTokens(grant);
-  if (!grant.announcedByBill && bill.tokens > limit) {
+  if (!grant.announcedByBill && bill.tokens > billableTokens) {
     return RefusalReason.GrantTooSmall;
   }
   grant.inherited = grant.inherited.filter(open => open !== inherited);
@@ -67,20 +68,26 @@
   books.billedTokens += bill.tokens;
   books.billedRequests.add(bill.requestId, offset);
   if (inherited !== undefined && grant.closed) {
-    const unused = inherited.boundTokens - bill.tokens;
-    grant.tokens -= unused;
-    books.unallocatedTokens += unused;
+    const unusedTokens = inherited.boundTokens - bill.tokens;
+    grant.tokens -= unusedTokens;
+    books.unallocatedTokens += unusedTokens;
   }
-  releaseInherited(books, bill.requestId);
+  releaseInheritedReservations(books, bill.requestId);
   return RefusalReason.None;
 }
 
 /**
- * Load: a request runs under the grants of two holders, one of which was taken for
- * lost. The first bill counts; the other holder's book would take its tokens back, but
- * a closed grant has no book any more. Harm: they would be reserved for ever.
+ * Releases the reservations that closed grants still keep for a billed request.
+ *
+ * A request can run under the grants of two holders if one of them was declared
+ * lost. Only the first bill counts. An active holder frees the tokens of its
+ * duplicate bill in its own book, but a closed grant has no holder's book, so
+ * without this step its reservation would never be released.
  */
-function releaseInherited(books: OrganisationBooks, requestId: string): void {
+function releaseInheritedReservations(
+  books: OrganisationBooks,
+  requestId: string,
+): void {
   for (const grant of books.grants.values()) {
     const open = grant.closed
       ? grant.inherited.find(inherited => inherited.requestId === requestId)
@@ -93,14 +100,17 @@
   }
 }
 
-/** Settles who runs a non-idempotent request: the first in log order. */
+/**
+ * Accepts the first claim in log order on a non-idempotent request; its
+ * claimant runs the request.
+ */
 export function applyClaim(
   books: OrganisationBooks,
   claim: Claim,
   offset: number,
-): Ruling {
-  const winner = books.claims.get(claim.requestId);
-  if (winner === undefined) {
+): EntryOutcome {
+  const acceptedClaim = books.claims.get(claim.requestId);
+  if (acceptedClaim === undefined) {
     books.claims.set(
       claim.requestId,
       create(ClaimStateSchema, {
@@ -113,28 +123,32 @@
     );
     return RefusalReason.None;
   }
-  return winner.claimant === claim.claimant &&
-    winner.attemptId === claim.attemptId
+  return acceptedClaim.claimant === claim.claimant &&
+    acceptedClaim.attemptId === claim.attemptId
     ? VerdictKind.Duplicate
     : RefusalReason.ClaimLost;
 }
 
-/** Notes a lone host's reservation, so that a stranded release keeps it back. */
+/**
+ * Records a reservation of a host without a witness, so that a stranded release
+ * keeps its tokens reserved.
+ */
 export function applyWriteAhead(
   books: OrganisationBooks,
-  ahead: WriteAhead,
+  writeAhead: WriteAhead,
   writer: string,
-): Ruling {
-  const reservation = ahead.reservation;
+): EntryOutcome {
+  const reservation = writeAhead.reservation;
   if (reservation === undefined || !isTokenAmount(reservation.boundTokens)) {
     return RefusalReason.InvalidAmount;
   }
-  const grant = heldGrant(books, ahead.grantId, writer);
+  const grant = findOpenGrantOfHolder(books, writeAhead.grantId, writer);
   if (typeof grant === 'string') {
     return grant;
   }
-  // The holder's book is the authority on the sum: requests that were released
-  // again before dispatch stay listed here until the grant closes.
+  // Each reservation is checked on its own. The holder's book limits their sum,
+  // since requests released before dispatch stay listed here until the grant
+  // closes.
   if (reservation.boundTokens > spareTokens(grant)) {
     return RefusalReason.GrantTooSmall;
   }
@@ -148,20 +162,24 @@
 }
 
 /**
- * Takes back a lost holder's grant. The witness lists everything that it had
- * acknowledged and that may not be on the log yet: transfers and bills are
- * applied now (their own records then count as duplicates, whether they stand
- * before or after), open reservations stay reserved, and the rest returns. What
- * the holder had returned needs no account: a return that was folded has left
- * the grant, and one still to come is refused, its tokens being in the rest.
+ * Closes the grant of a lost holder and reclaims its unused tokens.
+ *
+ * The witness lists every change that it acknowledged and that may be missing
+ * from the log. Transfers and bills are applied here; their own records count
+ * as duplicates, whether they precede or follow the reclaim. Open reservations
+ * stay reserved, and the remaining tokens become unallocated.
+ *
+ * Returns need no entry in the reclaim. A return that was folded earlier has
+ * already reduced the grant. A later one is refused, since its tokens are part
+ * of the remainder.
  */
 export function applyReclaim(
   books: OrganisationBooks,
   reclaim: Reclaim,
   writer: string,
   offset: number,
-): Ruling {
-  const grant = openGrant(books, reclaim.grantId);
+): EntryOutcome {
+  const grant = findOpenGrant(books, reclaim.grantId);
   if (typeof grant === 'string') {
     return grant;
   }
@@ -186,8 +204,8 @@
     .filter(open => !books.billedRequests.has(open.requestId))
     .map(open => clone(OpenReservationSchema, open));
   books.close(grant, offset);
-  const rest = Math.max(0, spareTokens(grant));
-  grant.tokens -= rest;
-  books.unallocatedTokens += rest;
+  const remainingTokens = Math.max(0, spareTokens(grant));
+  grant.tokens -= remainingTokens;
+  books.unallocatedTokens += remainingTokens;
   return RefusalReason.None;
 }
--- a/packages/ledger/src/configuration-fold.ts
+++ b/packages/ledger/src/configuration-fold.ts
@@ -14,26 +14,32 @@
 import {validateConfiguration} from './configuration-validation.js';
 
 /**
- * Verdicts kept, so that a repeat after a lost answer stays ignored. At the
- * letter's 7,300 changes a day this covers more than three hours.
+ * Number of verdicts kept, so that a publication repeated after a lost answer
+ * is ignored. At the required 7,300 changes a day this covers more than three
+ * hours.
  */
-export const REMEMBERED_PUBLICATIONS = 1_024;
+export const MAXIMUM_REMEMBERED_VERDICTS = 1_024;
 
-/** Digest of a checkpoint: of its bytes with the digest empty. */
+/**
+ * Returns the SHA-256 digest, in hexadecimal, of a checkpoint whose own digest
+ * field is empty.
+ */
 export function digestOfConfigurationCheckpoint(
   checkpoint: ConfigurationCheckpoint,
 ): string {
-  const bare = clone(ConfigurationCheckpointSchema, checkpoint);
-  bare.digest = '';
+  const withoutDigest = clone(ConfigurationCheckpointSchema, checkpoint);
+  withoutDigest.digest = '';
   return createHash('sha256')
-    .update(toBinary(ConfigurationCheckpointSchema, bare))
+    .update(toBinary(ConfigurationCheckpointSchema, withoutDigest))
     .digest('hex');
 }
 
 /**
- * Folds the stream `configuration`. A publication is accepted if it is valid and
- * names the version in force as its base; so of two racing operators one wins,
- * and the other is told what did. Versions only rise: nothing reverts.
+ * Folds the records of the stream `configuration`. A publication is accepted if
+ * it is valid and its base version is the version in force. If two operators
+ * publish concurrently, one is accepted; the verdict of the other names the
+ * version in force. Versions only increase: a configuration is never reverted
+ * to an earlier version number.
  *
  * @example
  * ```ts
@@ -42,15 +48,15 @@
  * ```
  */
 export class ConfigurationFold {
-  private next = 0;
-  private inForce: Configuration | undefined;
+  private firstUnappliedOffset = 0;
+  private activeConfiguration: Configuration | undefined;
   private currentVersion = 0;
   private readonly verdicts = new Map<string, PublicationVerdict>();
 
   /**
-   * Starts from a checkpoint.
+   * Restores the state of a checkpoint.
    *
-   * @returns undefined where its digest does not match.
+   * @returns undefined if the digest does not match the checkpoint.
    */
   static fromCheckpoint(
     checkpoint: ConfigurationCheckpoint,
@@ -59,39 +65,46 @@
       return undefined;
     }
     const fold = new ConfigurationFold();
-    fold.next = checkpoint.throughOffset;
+    fold.firstUnappliedOffset = checkpoint.throughOffset;
     fold.currentVersion = checkpoint.version;
-    fold.inForce = checkpoint.configuration;
+    fold.activeConfiguration = checkpoint.configuration;
     for (const verdict of checkpoint.verdicts) {
       fold.verdicts.set(verdict.publicationId, verdict);
     }
     return fold;
   }
 
-  /** The state covers all offsets below this one. */
+  /**
+   * Offset of the next record to apply; the state covers all offsets below it.
+   */
   get nextOffset(): number {
-    return this.next;
+    return this.firstUnappliedOffset;
   }
 
-  /** 0 before the first accepted publication. */
+  /** The version in force; 0 before the first accepted publication. */
   get version(): number {
     return this.currentVersion;
   }
 
-  /** The configuration in force; it must not be changed. */
+  /** The configuration in force. Callers must not modify it. */
   get configuration(): Configuration | undefined {
-    return this.inForce;
+    return this.activeConfiguration;
   }
 
-  /** The verdict on a publication, while it is remembered. */
+  /**
+   * The verdict on a publication, or undefined if it is unknown or no longer
+   * among the last `MAXIMUM_REMEMBERED_VERDICTS`.
+   */
   verdict(publicationId: string): PublicationVerdict | undefined {
     return this.verdicts.get(publicationId);
   }
 
   /**
-   * Applies one record; bytes that are no record are skipped.
+   * Decodes and applies one record. An undecodable record only advances
+   * `nextOffset`.
    *
-   * @returns The verdict on a publication that was not seen before.
+   * @returns The verdict, or undefined if the record carries no new
+   *     publication.
    */
   apply(offset: number, payload: Uint8Array): PublicationVerdict | undefined {
     let record: ConfigurationRecord;
@@ -103,26 +116,28 @@
     return this.applyRecord(offset, record);
   }
 
-  /** Applies one decoded record. */
+  /** Applies one decoded record; a record below `nextOffset` is ignored. */
   applyRecord(
     offset: number,
     record: ConfigurationRecord,
   ): PublicationVerdict | undefined {
-    if (offset < this.next) {
+    if (offset < this.firstUnappliedOffset) {
       return undefined;
     }
-    this.next = offset + 1;
+    this.firstUnappliedOffset = offset + 1;
     return record.kind.case === 'publication'
       ? this.applyPublication(record.kind.value)
       : undefined;
   }
 
-  /** A checkpoint of the state as it is. */
+  /** Returns a checkpoint of the current state. */
   toCheckpoint(): ConfigurationCheckpoint {
     const checkpoint = create(ConfigurationCheckpointSchema, {
-      throughOffset: this.next,
+      throughOffset: this.firstUnappliedOffset,
       version: this.currentVersion,
-      ...(this.inForce === undefined ? {} : {configuration: this.inForce}),
+      ...(this.activeConfiguration === undefined
+        ? {}
+        : {configuration: this.activeConfiguration}),
       verdicts: [...this.verdicts.values()],
     });
     checkpoint.digest = digestOfConfigurationCheckpoint(checkpoint);
@@ -138,7 +153,7 @@
     const reason = this.refusalReason(publication);
     if (reason === '') {
       this.currentVersion += 1;
-      this.inForce = publication.configuration;
+      this.activeConfiguration = publication.configuration;
     }
     const verdict = create(PublicationVerdictSchema, {
       publicationId: publication.publicationId,
@@ -147,7 +162,7 @@
       reason,
       operator: publication.operator,
     });
-    this.remember(verdict);
+    this.rememberVerdict(verdict);
     return verdict;
   }
 
@@ -167,10 +182,10 @@
       : `${problem.path.join('.')}: ${problem.message}`;
   }
 
-  private remember(verdict: PublicationVerdict): void {
+  private rememberVerdict(verdict: PublicationVerdict): void {
     this.verdicts.set(verdict.publicationId, verdict);
     for (const publicationId of this.verdicts.keys()) {
-      if (this.verdicts.size <= REMEMBERED_PUBLICATIONS) {
+      if (this.verdicts.size <= MAXIMUM_REMEMBERED_VERDICTS) {
         return;
       }
       this.verdicts.delete(publicationId);
--- a/packages/ledger/src/configuration-problem.ts
+++ b/packages/ledger/src/configuration-problem.ts
@@ -2,7 +2,7 @@
 
 import {isTokenAmount} from './tokens.js';
 
-/** What is wrong with a value. */
+/** The kind of a configuration problem. */
 export enum ConfigurationProblemKind {
   DuplicateName = 'duplicate-name',
   UnknownReference = 'unknown-reference',
@@ -11,10 +11,10 @@
   UnsupportedRevision = 'unsupported-revision',
 }
 
-/** One thing wrong with a configuration. */
+/** One problem of a configuration. */
 export interface ConfigurationProblem {
   readonly kind: ConfigurationProblemKind;
-  /** Path from the root, in the schema's JSON names. */
+  /** Path of the value from the root, in the JSON names of the schema. */
   readonly path: readonly (string | number)[];
   readonly message: string;
 }
@@ -24,8 +24,8 @@
 const MAXIMUM_PORT = 65_535;
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$/;
 
-/** Whether a text is `IP:port`. */
-export function isAddress(address: string): boolean {
+/** Whether a text is `IP:port`, with a port from 1 to 65,535. */
+export function isSocketAddress(address: string): boolean {
   const separator = address.lastIndexOf(':');
   const host = address.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
   const portText = address.slice(separator + 1);
@@ -39,12 +39,12 @@
   );
 }
 
-/** Collects problems while a configuration is walked. */
-export class ProblemCollector {
+/** Collects the problems found while a configuration is validated. */
+export class ConfigurationProblemCollector {
   readonly problems: ConfigurationProblem[] = [];
 
-  /** Notes a problem unless the condition holds. */
-  expect(
+  /** Adds a problem unless the condition is true. */
+  addUnless(
     condition: boolean,
     kind: ConfigurationProblemKind,
     path: Path,
@@ -55,12 +55,19 @@
     }
   }
 
-  /** Names of a list, which must be well formed and unique. */
-  names(list: string, items: readonly {readonly name: string}[]): Set<string> {
+  /**
+   * Checks that the names of a list are well formed and unique.
+   *
+   * @returns The names.
+   */
+  checkUniqueNames(
+    list: string,
+    items: readonly {readonly name: string}[],
+  ): Set<string> {
     const seen = new Set<string>();
     items.forEach((item, index) => {
-      this.name([list, index, 'name'], item.name);
-      this.expect(
+      this.checkName([list, index, 'name'], item.name);
+      this.addUnless(
         !seen.has(item.name),
         ConfigurationProblemKind.DuplicateName,
         [list, index, 'name'],
@@ -71,9 +78,9 @@
     return seen;
   }
 
-  /** A well-formed name. */
-  name(path: Path, name: string): void {
-    this.expect(
+  /** Checks that a name is well formed. */
+  checkName(path: Path, name: string): void {
+    this.addUnless(
       NAME_PATTERN.test(name),
       ConfigurationProblemKind.Malformed,
       path,
@@ -81,19 +88,23 @@
     );
   }
 
-  /** A name that something has. */
-  reference(known: ReadonlySet<string>, path: Path, name: string): void {
-    this.expect(
-      known.has(name),
+  /** Checks that a name refers to one of the defined items. */
+  checkReference(
+    definedNames: ReadonlySet<string>,
+    path: Path,
+    name: string,
+  ): void {
+    this.addUnless(
+      definedNames.has(name),
       ConfigurationProblemKind.UnknownReference,
       path,
       `nothing is named ${name}`,
     );
   }
 
-  /** An amount of tokens. */
-  tokens(path: Path, value: number): void {
-    this.expect(
+  /** Checks that a value is an amount of tokens. */
+  checkTokenAmount(path: Path, value: number): void {
+    this.addUnless(
       isTokenAmount(value),
       ConfigurationProblemKind.OutOfRange,
       path,
@@ -101,9 +112,9 @@
     );
   }
 
-  /** A number above 0. */
-  positive(path: Path, value: number): void {
-    this.expect(
+  /** Checks that a value is a finite number above 0. */
+  checkPositive(path: Path, value: number): void {
+    this.addUnless(
       Number.isFinite(value) && value > 0,
       ConfigurationProblemKind.OutOfRange,
       path,
--- a/packages/ledger/src/configuration-validation.ts
+++ b/packages/ledger/src/configuration-validation.ts
@@ -7,8 +7,8 @@
 
 import {
   ConfigurationProblemKind,
-  isAddress,
-  ProblemCollector,
+  isSocketAddress,
+  ConfigurationProblemCollector,
   type ConfigurationProblem,
 } from './configuration-problem.js';
 
@@ -19,20 +19,20 @@
 const HTTP_METHODS: readonly string[] = ['GET', 'POST', 'PUT', 'DELETE'];
 
 function checkOrganisations(
-  collector: ProblemCollector,
+  collector: ConfigurationProblemCollector,
   configuration: Configuration,
   services: ReadonlySet<string>,
 ): void {
-  collector.names('organisations', configuration.organisations);
+  collector.checkUniqueNames('organisations', configuration.organisations);
   const credentials = new Map<string, string>();
   configuration.organisations.forEach((organisation, index) => {
     const path = ['organisations', index];
-    collector.tokens(
+    collector.checkTokenAmount(
       [...path, 'openingBudgetTokens'],
       organisation.openingBudgetTokens,
     );
-    collector.positive([...path, 'weight'], organisation.weight);
-    collector.expect(
+    collector.checkPositive([...path, 'weight'], organisation.weight);
+    collector.addUnless(
       organisation.budgetPreference !== BudgetPreference.UNSPECIFIED &&
         organisation.budgetPreference in BudgetPreference,
       ConfigurationProblemKind.OutOfRange,
@@ -40,7 +40,7 @@
       'expected one of the budget preferences',
     );
     organisation.services.forEach((service, serviceIndex) => {
-      collector.reference(
+      collector.checkReference(
         services,
         [...path, 'services', serviceIndex],
         service,
@@ -48,17 +48,18 @@
     });
     organisation.callers.forEach((caller, callerIndex) => {
       const callerPath = [...path, 'callers', callerIndex];
-      collector.name([...callerPath, 'name'], caller.name);
+      collector.checkName([...callerPath, 'name'], caller.name);
       const digest = caller.credentialSha256;
-      collector.expect(
+      collector.addUnless(
         SHA256_PATTERN.test(digest),
         ConfigurationProblemKind.Malformed,
         [...callerPath, 'credentialSha256'],
         'expected 64 lower-case hexadecimal digits',
       );
-      // One credential in two organisations would show one firm another's work.
+      // A credential shared by two organisations would give one of them access
+      // to the requests of the other.
       const owner = credentials.get(digest);
-      collector.expect(
+      collector.addUnless(
         owner === undefined,
         ConfigurationProblemKind.DuplicateName,
         [...callerPath, 'credentialSha256'],
@@ -70,100 +71,100 @@
 }
 
 function checkServices(
-  collector: ProblemCollector,
+  collector: ConfigurationProblemCollector,
   configuration: Configuration,
   models: ReadonlySet<string>,
 ): void {
   configuration.services.forEach((service, index) => {
     const path = ['services', index];
-    collector.expect(
+    collector.addUnless(
       service.kind === ServiceKind.MODEL || service.kind === ServiceKind.PLAIN,
       ConfigurationProblemKind.OutOfRange,
       [...path, 'kind'],
       'expected one of the kinds of services',
     );
     service.models.forEach((model, modelIndex) => {
-      collector.reference(models, [...path, 'models', modelIndex], model);
+      collector.checkReference(models, [...path, 'models', modelIndex], model);
     });
     const calls = new Set<string>();
     service.calls.forEach((call, callIndex) => {
       const callPath = [...path, 'calls', callIndex];
-      collector.name([...callPath, 'name'], call.name);
-      collector.expect(
+      collector.checkName([...callPath, 'name'], call.name);
+      collector.addUnless(
         !calls.has(call.name),
         ConfigurationProblemKind.DuplicateName,
         [...callPath, 'name'],
         `the name ${call.name} is used twice`,
       );
       calls.add(call.name);
-      collector.expect(
+      collector.addUnless(
         HTTP_METHODS.includes(call.method),
         ConfigurationProblemKind.OutOfRange,
         [...callPath, 'method'],
         `expected one of ${HTTP_METHODS.join(', ')}`,
       );
-      collector.expect(
+      collector.addUnless(
         call.path.startsWith('/'),
         ConfigurationProblemKind.Malformed,
         [...callPath, 'path'],
         'expected a path that starts with a slash',
       );
-      collector.expect(
+      collector.addUnless(
         call.outcomePath === '' || call.outcomePath.startsWith('/'),
         ConfigurationProblemKind.Malformed,
         [...callPath, 'outcomePath'],
         'expected a path that starts with a slash, or nothing',
       );
-      collector.tokens([...callPath, 'tokens'], call.tokens);
+      collector.checkTokenAmount([...callPath, 'tokens'], call.tokens);
     });
   });
 }
 
 function checkEndpoints(
-  collector: ProblemCollector,
+  collector: ConfigurationProblemCollector,
   configuration: Configuration,
   services: ReadonlySet<string>,
 ): void {
-  collector.names('endpoints', configuration.endpoints);
+  collector.checkUniqueNames('endpoints', configuration.endpoints);
   configuration.endpoints.forEach((endpoint, index) => {
     const path = ['endpoints', index];
-    collector.reference(services, [...path, 'service'], endpoint.service);
-    collector.name([...path, 'dataCenter'], endpoint.dataCenter);
-    collector.expect(
-      isAddress(endpoint.address),
+    collector.checkReference(services, [...path, 'service'], endpoint.service);
+    collector.checkName([...path, 'dataCenter'], endpoint.dataCenter);
+    collector.addUnless(
+      isSocketAddress(endpoint.address),
       ConfigurationProblemKind.Malformed,
       [...path, 'address'],
       'expected IP:port',
     );
-    collector.expect(
+    collector.addUnless(
       endpoint.state === EndpointState.ACTIVE ||
         endpoint.state === EndpointState.LEAVING,
       ConfigurationProblemKind.OutOfRange,
       [...path, 'state'],
       'expected one of the states of endpoints',
     );
-    collector.positive([...path, 'slots'], endpoint.slots);
+    collector.checkPositive([...path, 'slots'], endpoint.slots);
   });
 }
 
 function checkModels(
-  collector: ProblemCollector,
+  collector: ConfigurationProblemCollector,
   configuration: Configuration,
 ): void {
   configuration.models.forEach((model, index) => {
     const path = ['models', index];
-    collector.positive(
+    collector.checkPositive(
       [...path, 'maximumOutputTokens'],
       model.maximumOutputTokens,
     );
-    collector.expect(
+    collector.addUnless(
       model.defaultOutputTokens > 0 &&
         model.defaultOutputTokens <= model.maximumOutputTokens,
       ConfigurationProblemKind.OutOfRange,
       [...path, 'defaultOutputTokens'],
       'expected a number above 0, at most maximumOutputTokens',
     );
-    collector.positive(
+    collector.checkPositive(
       [...path, 'minimumBytesPerPromptToken'],
       model.minimumBytesPerPromptToken,
     );
@@ -171,12 +172,12 @@
 }
 
 function checkLimits(
-  collector: ProblemCollector,
+  collector: ConfigurationProblemCollector,
   configuration: Configuration,
 ): void {
   const {limits} = configuration;
   if (limits === undefined) {
-    collector.expect(
+    collector.addUnless(
       false,
       ConfigurationProblemKind.Malformed,
       ['limits'],
@@ -184,7 +185,7 @@
     );
     return;
   }
-  const entries = [
+  const positiveLimits = [
     ['maximumBodyBytes', limits.maximumBodyBytes],
     [
       'requestReceiveTimeoutMilliseconds',
@@ -194,17 +195,18 @@
     ['batchDeadlineMilliseconds', limits.batchDeadlineMilliseconds],
     ['keptAnswerMilliseconds', limits.keptAnswerMilliseconds],
   ] as const;
-  for (const [name, value] of entries) {
-    collector.positive(['limits', name], value);
+  for (const [name, value] of positiveLimits) {
+    collector.checkPositive(['limits', name], value);
   }
 }
 
 /**
- * Checks a whole configuration. Every reader runs it on every publication, so it
- * is deterministic and part of the fold: a change of its rules needs a new
- * schema revision, so that an older binary refuses the whole and applies no half.
+ * Validates a configuration. Every reader of the log runs this on every
+ * publication as part of the fold, so it must be deterministic. A change of its
+ * rules needs a new schema revision, so that an older binary refuses the whole
+ * configuration instead of applying part of it.
  *
- * @returns Every problem; empty where it is valid.
+ * @returns All problems found; empty if the configuration is valid.
  * @example
  * ```ts
  * const problems = validateConfiguration(configuration);
@@ -213,15 +215,18 @@
 export function validateConfiguration(
   configuration: Configuration,
 ): readonly ConfigurationProblem[] {
-  const collector = new ProblemCollector();
-  collector.expect(
+  const collector = new ConfigurationProblemCollector();
+  collector.addUnless(
     configuration.schemaRevision <= SUPPORTED_SCHEMA_REVISION,
     ConfigurationProblemKind.UnsupportedRevision,
     ['schemaRevision'],
     `this process knows revision ${SUPPORTED_SCHEMA_REVISION}; update it first`,
   );
-  const models = collector.names('models', configuration.models);
-  const services = collector.names('services', configuration.services);
+  const models = collector.checkUniqueNames('models', configuration.models);
+  const services = collector.checkUniqueNames(
+    'services',
+    configuration.services,
+  );
   checkOrganisations(collector, configuration, services);
   checkServices(collector, configuration, models);
   checkEndpoints(collector, configuration, services);
--- a/packages/ledger/src/open-grant.ts
+++ b/packages/ledger/src/find-open-grant.ts
@@ -3,8 +3,8 @@
 import type {OrganisationBooks} from './organisation-books.js';
 import {RefusalReason} from './verdict.js';
 
-/** A grant that records may still change, or why the record is refused. */
-export function openGrant(
+/** Returns an open grant, or the reason to refuse a record that names it. */
+export function findOpenGrant(
   books: OrganisationBooks,
   grantId: string,
 ): GrantState | RefusalReason {
@@ -15,13 +15,16 @@
   return grant.closed ? RefusalReason.GrantClosed : grant;
 }
 
-/** Likewise, for records that only the grant's holder may write. */
-export function heldGrant(
+/**
+ * Returns an open grant that the writer holds, or the reason to refuse the
+ * record. Used for records that only the holder of a grant may write.
+ */
+export function findOpenGrantOfHolder(
   books: OrganisationBooks,
   grantId: string,
   writer: string,
 ): GrantState | RefusalReason {
-  const grant = openGrant(books, grantId);
+  const grant = findOpenGrant(books, grantId);
   return typeof grant !== 'string' && grant.holder !== writer
     ? RefusalReason.NotHolder
     : grant;
--- a/packages/ledger/src/grant-rules.ts
+++ b/packages/ledger/src/grant-rules.ts
@@ -9,13 +9,16 @@
   type WitnessChange,
 } from '@wisteriadeal/schema';
 
-import {heldGrant, openGrant} from './open-grant.js';
+import {findOpenGrant, findOpenGrantOfHolder} from './find-open-grant.js';
 import {spareTokens, type OrganisationBooks} from './organisation-books.js';
 import {isTokenAmount} from './tokens.js';
-import {RefusalReason, VerdictKind, type Ruling} from './verdict.js';
+import {RefusalReason, VerdictKind, type EntryOutcome} from './verdict.js';
 
-/** Credits the budget. */
-export function applyTopUp(books: OrganisationBooks, topUp: TopUp): Ruling {
+/** Credits tokens to the budget of an organisation. */
+export function applyTopUp(
+  books: OrganisationBooks,
+  topUp: TopUp,
+): EntryOutcome {
   if (
     !isTokenAmount(topUp.tokens) ||
     !isTokenAmount(books.creditedTokens + topUp.tokens)
@@ -28,10 +31,14 @@
 }
 
 /**
- * Moves tokens to a holder. What remains is given where less than asked for is
- * left, so that the last tokens of a budget can still be granted.
+ * Moves unallocated tokens into a new grant. If fewer tokens are left than
+ * requested, but at least the requested minimum, all of them are granted, so
+ * that the end of a budget can be used.
  */
-export function applyGrant(books: OrganisationBooks, grant: Grant): Ruling {
+export function applyGrant(
+  books: OrganisationBooks,
+  grant: Grant,
+): EntryOutcome {
   if (!isTokenAmount(grant.tokens) || !isTokenAmount(grant.minimumTokens)) {
     return RefusalReason.InvalidAmount;
   }
@@ -60,15 +67,16 @@
 }
 
 /**
- * Changes the witness. Naming the old one makes this and a reclaim by the old
- * witness exclude one another: whichever stands first on the log wins.
+ * Changes the witness of a grant. The record names the previous witness, so
+ * that this change and a reclaim by that witness are mutually exclusive: the
+ * first in log order takes effect and the other is refused.
  */
 export function applyWitnessChange(
   books: OrganisationBooks,
   change: WitnessChange,
   writer: string,
-): Ruling {
-  const grant = heldGrant(books, change.grantId, writer);
+): EntryOutcome {
+  const grant = findOpenGrantOfHolder(books, change.grantId, writer);
   if (typeof grant === 'string') {
     return grant;
   }
@@ -79,27 +87,28 @@
   return RefusalReason.None;
 }
 
-/** Gives tokens back to the unallocated budget. */
+/** Returns tokens of a grant to the unallocated budget. */
 export function applyReturn(
   books: OrganisationBooks,
-  giving: Return,
+  grantReturn: Return,
   writer: string,
   offset: number,
-): Ruling {
-  if (!isTokenAmount(giving.tokens)) {
+): EntryOutcome {
+  if (!isTokenAmount(grantReturn.tokens)) {
     return RefusalReason.InvalidAmount;
   }
-  // Refused after a reclaim: what the holder had returned has come back with it.
-  const grant = heldGrant(books, giving.grantId, writer);
+  // A return that follows a reclaim is refused: the reclaim has already made
+  // these tokens unallocated.
+  const grant = findOpenGrantOfHolder(books, grantReturn.grantId, writer);
   if (typeof grant === 'string') {
     return grant;
   }
-  if (spareTokens(grant) < giving.tokens) {
+  if (spareTokens(grant) < grantReturn.tokens) {
     return RefusalReason.GrantTooSmall;
   }
-  grant.tokens -= giving.tokens;
-  books.unallocatedTokens += giving.tokens;
-  if (giving.closes) {
+  grant.tokens -= grantReturn.tokens;
+  books.unallocatedTokens += grantReturn.tokens;
+  if (grantReturn.closes) {
     grant.inherited = [];
     books.close(grant, offset);
   }
@@ -107,28 +116,30 @@
 }
 
 /**
- * Moves tokens to another holder's grant. A grant that a reclaim closed has
- * nothing to spare, so a transfer that the witness never acknowledged is refused
- * here; one that it did acknowledge is applied by the reclaim itself.
+ * Moves tokens to a new grant of another holder. A grant closed by a reclaim
+ * has no spare tokens, so a transfer that the witness did not acknowledge is
+ * refused here. An acknowledged transfer is applied by the reclaim itself.
  */
 export function applyTransfer(
   books: OrganisationBooks,
   transfer: Transfer,
-): Ruling {
+): EntryOutcome {
   if (!isTokenAmount(transfer.tokens)) {
     return RefusalReason.InvalidAmount;
   }
   if (transfer.transferId === '' || transfer.toHolder === '') {
     return RefusalReason.InvalidEntry;
   }
-  const known = books.grants.get(transfer.transferId);
-  if (known !== undefined && !known.announcedByBill) {
+  const existing = books.grants.get(transfer.transferId);
+  if (existing !== undefined && !existing.announcedByBill) {
     return VerdictKind.Duplicate;
   }
   const source =
-    books.grants.get(transfer.fromGrant) ?? books.announce(transfer.fromGrant);
-  // A source that is itself announced gets its tokens by a record to come: in a
-  // chain of transfers, the records may arrive in any order.
+    books.grants.get(transfer.fromGrant) ??
+    books.addAnnouncedGrant(transfer.fromGrant);
+  // The records of a chain of transfers may arrive in any order, so an
+  // announced source receives its tokens from a later record and may be
+  // overdrawn until then.
   if (!source.announcedByBill && spareTokens(source) < transfer.tokens) {
     return RefusalReason.GrantTooSmall;
   }
@@ -140,24 +151,24 @@
       holder: transfer.toHolder,
       witness: transfer.toWitness,
       dataCenter: transfer.toDataCenter,
-      tokens: transfer.tokens + (known?.tokens ?? 0),
-      billedTokens: known?.billedTokens ?? 0,
+      tokens: transfer.tokens + (existing?.tokens ?? 0),
+      billedTokens: existing?.billedTokens ?? 0,
     }),
   );
   return RefusalReason.None;
 }
 
 /**
- * Releases what an open grant has left, on an operator's word that its host is
- * gone. Reservations written ahead are kept back, so that their bills still
- * count; late bills of others are refused.
+ * Closes a grant whose host an operator has declared lost, and makes its spare
+ * tokens unallocated. Reservations recorded by a write-ahead stay reserved, so
+ * that their late bills count; late bills of other requests are refused.
  */
 export function applyStrandedRelease(
   books: OrganisationBooks,
   release: StrandedRelease,
   offset: number,
-): Ruling {
-  const grant = openGrant(books, release.grantId);
+): EntryOutcome {
+  const grant = findOpenGrant(books, release.grantId);
   if (typeof grant === 'string') {
     return grant;
   }
--- a/packages/ledger/src/holder-book.ts
+++ b/packages/ledger/src/holder-book.ts
@@ -14,7 +14,10 @@
 
 import {isTokenAmount} from './tokens.js';
 
-/** What a book is opened with: a grant that the fold accepted. */
+/**
+ * The grant of a new book: accepted by the fold, or transferred from another
+ * holder.
+ */
 export interface GrantOpening {
   readonly grantId: string;
   readonly organisation: string;
@@ -24,11 +27,12 @@
 }
 
 /**
- * The holder's own account of one grant.
+ * The holder's account of one grant.
  *
- * Each method that changes it returns the change for the witness, or undefined
- * where the change is not possible. Tokens are debited before the change is sent
- * anywhere, so a lost message strands tokens and never creates them.
+ * Each method that modifies the account returns the change to replicate to the
+ * witness, or undefined if the change is not possible. Tokens are debited
+ * before the change is sent, so a lost message can strand tokens but never
+ * create them.
  *
  * @example
  * ```ts
@@ -37,9 +41,9 @@
  * ```
  */
 export class HolderBook {
-  private readonly open = new Map<string, RequestReservation>();
-  private readonly settled = new Map<string, Bill>();
-  private readonly transfers = new Map<string, Transfer>();
+  private readonly openByRequestId = new Map<string, RequestReservation>();
+  private readonly pendingBillsByRequestId = new Map<string, Bill>();
+  private readonly pendingTransfersById = new Map<string, Transfer>();
   private reservedTokens = 0;
   private settledTokens = 0;
   private transferredTokens = 0;
@@ -48,97 +52,109 @@
 
   constructor(readonly opening: GrantOpening) {}
 
-  /** What may still be reserved, transferred or returned. */
+  /** Tokens that can be reserved or transferred; 0 once the book is closing. */
   get spendableTokens(): number {
     return this.closing ? 0 : this.freeTokens;
   }
 
-  /** Tokens reserved for requests that are not settled. */
+  /** Tokens reserved for requests that are neither settled nor released. */
   get openTokens(): number {
     return this.reservedTokens;
   }
 
-  /** Requests whose reservation is open. */
+  /** Reservations that are neither settled nor released. */
   get openReservations(): readonly RequestReservation[] {
-    return [...this.open.values()];
+    return [...this.openByRequestId.values()];
   }
 
-  /** Bills that the fold has not shown yet. */
+  /** Bills that have not been folded from the log yet. */
   get unfoldedBills(): readonly Bill[] {
-    return [...this.settled.values()];
+    return [...this.pendingBillsByRequestId.values()];
   }
 
-  /** Transfers that the fold has not shown yet. */
-  get unfoldedTransfers(): readonly Transfer[] {
-    return [...this.transfers.values()];
+  /** Transfers that have not been folded from the log yet. */
+  get pendingTransfers(): readonly Transfer[] {
+    return [...this.pendingTransfersById.values()];
   }
 
-  /** Whether the book takes no more reservations. */
+  /** Whether the book refuses new reservations and transfers. */
   get isClosing(): boolean {
     return this.closing;
   }
 
-  /** True once nothing is open and everything settled stands on the log. */
+  /**
+   * Whether no reservation is open and all bills and transfers have been folded
+   * from the log.
+   */
   get isSettled(): boolean {
     return (
-      this.open.size === 0 &&
-      this.settled.size === 0 &&
-      this.transfers.size === 0
+      this.openByRequestId.size === 0 &&
+      this.pendingBillsByRequestId.size === 0 &&
+      this.pendingTransfersById.size === 0
     );
   }
 
-  /** Takes no more reservations; what runs is settled as before. */
+  /**
+   * Refuses reservations and transfers from now on. Open reservations can still
+   * be settled or released, and free tokens returned.
+   */
   stopReserving(): void {
     this.closing = true;
   }
 
-  /** Reserves a request's bound. */
+  /**
+   * Reserves the bound of a request.
+   *
+   * @returns undefined if the bound is not a token amount or exceeds the
+   *     spendable tokens, or if the request already has a reservation.
+   */
   reserve(reservation: RequestReservation): BookChange | undefined {
     const open = reservation.reservation;
     if (
       open === undefined ||
       !isTokenAmount(open.boundTokens) ||
       open.boundTokens > this.spendableTokens ||
-      this.open.has(open.requestId)
+      this.openByRequestId.has(open.requestId)
     ) {
       return undefined;
     }
-    this.open.set(open.requestId, reservation);
+    this.openByRequestId.set(open.requestId, reservation);
     this.reservedTokens += open.boundTokens;
-    return this.change({case: 'reserved', value: reservation});
+    return this.createChange({case: 'reserved', value: reservation});
   }
 
-  /** Notes that another router goes on with a request. */
+  /** Records that another router has taken over a request. */
   reassign(requestId: string, router: string): BookChange | undefined {
-    const open = this.open.get(requestId);
+    const open = this.openByRequestId.get(requestId);
     if (open === undefined) {
       return undefined;
     }
     open.router = router;
     open.beginNumber = 0;
-    return this.change({case: 'reserved', value: open});
+    return this.createChange({case: 'reserved', value: open});
   }
 
-  /** Notes the attempt that runs now. */
+  /** Records the attempt and endpoint to which a request is dispatched. */
   dispatching(
     requestId: string,
     attempt: AttemptReference,
   ): BookChange | undefined {
-    const open = this.open.get(requestId)?.reservation;
+    const open = this.openByRequestId.get(requestId)?.reservation;
     if (open === undefined) {
       return undefined;
     }
     open.attemptId = attempt.attemptId;
     open.endpoint = attempt.endpoint;
-    return this.change({case: 'dispatching', value: attempt}, requestId);
+    return this.createChange({case: 'dispatching', value: attempt}, requestId);
   }
 
   /**
-   * Settles a request once. Usage beyond the bound is not charged: the engine
-   * was told the maximum, and nothing beyond it is covered by the budget.
+   * Replaces the reservation of a request by a bill. The charge is limited to
+   * the bound: the engine was given that maximum, and the budget covers no
+   * more. An invalid amount is charged as the bound.
    */
   settle(bill: Bill): BookChange | undefined {
-    const bound = this.takeOpen(bill.requestId);
+    const bound = this.removeReservation(bill.requestId);
     if (bound === undefined) {
       return undefined;
     }
@@ -147,48 +163,60 @@
     charged.tokens = isTokenAmount(bill.tokens)
       ? Math.min(bill.tokens, bound)
       : bound;
-    this.settled.set(charged.requestId, charged);
+    this.pendingBillsByRequestId.set(charged.requestId, charged);
     this.settledTokens += charged.tokens;
-    return this.change({case: 'settled', value: charged});
+    return this.createChange({case: 'settled', value: charged});
   }
 
-  /** Releases the reservation of a request that was never dispatched. */
+  /** Releases the reservation of a request that was not dispatched. */
   release(requestId: string): BookChange | undefined {
-    return this.takeOpen(requestId) === undefined
+    return this.removeReservation(requestId) === undefined
       ? undefined
-      : this.change({case: 'released', value: {requestId}});
+      : this.createChange({case: 'released', value: {requestId}});
   }
 
-  /** Debits a transfer to another holder. */
+  /**
+   * Debits a transfer to another holder.
+   *
+   * @returns undefined if the amount is 0, invalid or above the spendable
+   *     tokens, or if the transfer was debited before.
+   */
   transferOut(transfer: Transfer): BookChange | undefined {
     if (
       !isTokenAmount(transfer.tokens) ||
       transfer.tokens === 0 ||
       transfer.tokens > this.spendableTokens ||
-      this.transfers.has(transfer.transferId)
+      this.pendingTransfersById.has(transfer.transferId)
     ) {
       return undefined;
     }
     const outgoing = clone(TransferSchema, transfer);
     outgoing.fromGrant = this.opening.grantId;
-    this.transfers.set(outgoing.transferId, outgoing);
+    this.pendingTransfersById.set(outgoing.transferId, outgoing);
     this.transferredTokens += outgoing.tokens;
-    return this.change({case: 'transferred', value: outgoing});
+    return this.createChange({case: 'transferred', value: outgoing});
   }
 
-  /** Debits tokens to be returned. */
+  /**
+   * Debits tokens that are returned to the unallocated budget.
+   *
+   * @returns undefined if the amount is invalid or above the free tokens.
+   */
   giveBack(tokens: number): BookChange | undefined {
     if (!isTokenAmount(tokens) || tokens > this.freeTokens) {
       return undefined;
     }
     this.returnedTokens += tokens;
-    return this.change({
+    return this.createChange({
       case: 'returned',
       value: create(ReturnSchema, {grantId: this.opening.grantId, tokens}),
     });
   }
 
-  /** The rest that a closing return gives back. */
+  /**
+   * Tokens of the grant that are neither reserved, billed, transferred nor
+   * returned. A return that closes the grant returns this amount.
+   */
   get freeTokens(): number {
     return (
       this.opening.tokens -
@@ -199,53 +227,55 @@
     );
   }
 
-  /** The fold showed the bill; it needs no more memory here. */
+  /** Removes a bill that has been folded from the log. */
   billFolded(requestId: string): void {
-    this.settled.delete(requestId);
+    this.pendingBillsByRequestId.delete(requestId);
   }
 
   /**
-   * The fold had another bill of the request before: this one does not count,
-   * and its tokens can be spent again.
+   * Removes a bill that the fold ignored as a duplicate of an earlier bill of
+   * the request, and makes its tokens free again.
    */
   billIgnored(requestId: string): void {
-    const bill = this.settled.get(requestId);
+    const bill = this.pendingBillsByRequestId.get(requestId);
     if (bill !== undefined) {
-      this.settled.delete(requestId);
+      this.pendingBillsByRequestId.delete(requestId);
       this.settledTokens -= bill.tokens;
     }
   }
 
-  /** The fold showed the transfer. */
+  /** Removes a transfer that has been folded from the log. */
   transferFolded(transferId: string): void {
-    this.transfers.delete(transferId);
+    this.pendingTransfersById.delete(transferId);
   }
 
-  /** The whole book, for a witness that does not know it. */
+  /**
+   * Returns a change with the whole book, for a witness that has no copy of it.
+   */
   opened(): BookChange {
-    return this.change({
+    return this.createChange({
       case: 'opened',
       value: create(GrantBookSchema, {
         ...this.opening,
-        open: [...this.open.values()],
-        settled: [...this.settled.values()],
-        transfers: [...this.transfers.values()],
+        open: [...this.openByRequestId.values()],
+        settled: [...this.pendingBillsByRequestId.values()],
+        transfers: [...this.pendingTransfersById.values()],
         returnedTokens: this.returnedTokens,
       }),
     });
   }
 
-  private takeOpen(requestId: string): number | undefined {
-    const bound = this.open.get(requestId)?.reservation?.boundTokens;
+  private removeReservation(requestId: string): number | undefined {
+    const bound = this.openByRequestId.get(requestId)?.reservation?.boundTokens;
     if (bound === undefined) {
       return undefined;
     }
-    this.open.delete(requestId);
+    this.openByRequestId.delete(requestId);
     this.reservedTokens -= bound;
     return bound;
   }
 
-  private change(
+  private createChange(
     kind: MessageInitShape<typeof BookChangeSchema>['kind'],
     requestId = '',
   ): BookChange {
--- a/packages/ledger/src/ledger-fold.ts
+++ b/packages/ledger/src/ledger-fold.ts
@@ -31,17 +31,20 @@
   RefusalReason,
   VerdictKind,
   type EntryVerdict,
-  type Ruling,
+  type EntryOutcome,
 } from './verdict.js';
 
-/** Totals of one organisation. */
+/** Token totals of one organisation. */
 export interface OrganisationTotals {
   readonly creditedTokens: number;
   readonly unallocatedTokens: number;
   readonly billedTokens: number;
 }
 
-/** Digest of a state, as a checkpoint carries it. */
+/**
+ * Returns the SHA-256 digest, in hexadecimal, of a state, as stored in a
+ * checkpoint.
+ */
 export function digestOfState(state: LedgerState): string {
   return createHash('sha256')
     .update(toBinary(LedgerStateSchema, state))
@@ -49,8 +52,9 @@
 }
 
 /**
- * Folds the records of one ledger stream, in the order of their offsets. Every
- * reader that folds the same records reaches the same state and verdicts.
+ * Folds the records of one ledger stream in offset order. The fold is
+ * deterministic: all readers of the same records reach the same state and
+ * verdicts.
  *
  * @example
  * ```ts
@@ -63,13 +67,13 @@
 export class LedgerFold {
   private readonly organisations = new Map<string, OrganisationBooks>();
 
-  /** @param nextOffset The offset of the first record to be applied. */
-  constructor(private next = 0) {}
+  /** @param firstUnappliedOffset The offset of the first record to apply. */
+  constructor(private firstUnappliedOffset = 0) {}
 
   /**
-   * Starts from a checkpoint.
+   * Restores the state of a checkpoint.
    *
-   * @returns undefined where its digest does not match its state.
+   * @returns undefined if the digest does not match the state.
    */
   static fromCheckpoint(checkpoint: LedgerCheckpoint): LedgerFold | undefined {
     const {state, digest, throughOffset} = checkpoint;
@@ -86,22 +90,24 @@
     return fold;
   }
 
-  /** The state covers all offsets below this one. */
+  /**
+   * Offset of the next record to apply; the state covers all offsets below it.
+   */
   get nextOffset(): number {
-    return this.next;
+    return this.firstUnappliedOffset;
   }
 
-  /** Names of all organisations seen. */
+  /** Names of all organisations that the folded entries name. */
   get organisationNames(): readonly string[] {
     return [...this.organisations.keys()];
   }
 
   /**
-   * Applies one record. A record below `nextOffset` was applied before and is
-   * ignored; bytes that are no batch are skipped, so that a foreign record can't
-   * stop every reader.
+   * Decodes and applies one record. A record below `nextOffset` has been
+   * applied before and is ignored. An undecodable record only advances
+   * `nextOffset`, so that a record of another format cannot block all readers.
    *
-   * @returns The verdicts, in the order of the record's entries.
+   * @returns One verdict for each entry, in the order of the entries.
    */
   apply(offset: number, payload: Uint8Array): readonly EntryVerdict[] {
     let batch: LedgerBatch;
@@ -113,18 +119,18 @@
     return this.applyBatch(offset, batch);
   }
 
-  /** Applies one decoded record. */
+  /** Applies one decoded record; a record below `nextOffset` is ignored. */
   applyBatch(offset: number, batch: LedgerBatch): readonly EntryVerdict[] {
-    if (offset < this.next) {
+    if (offset < this.firstUnappliedOffset) {
       return [];
     }
-    this.next = offset + 1;
+    this.firstUnappliedOffset = offset + 1;
     return batch.entries.map(entry =>
       this.applyEntry(offset, batch.writer, entry),
     );
   }
 
-  /** Totals of an organisation; zero where it is unknown. */
+  /** Totals of an organisation; all are 0 if it is unknown. */
   totals(organisation: string): OrganisationTotals {
     const books = this.organisations.get(organisation);
     return {
@@ -134,22 +140,22 @@
     };
   }
 
-  /** A grant; it must not be changed. */
+  /** Returns a grant. Callers must not modify it. */
   grant(organisation: string, grantId: string): GrantState | undefined {
     return this.organisations.get(organisation)?.grants.get(grantId);
   }
 
-  /** All grants of an organisation; they must not be changed. */
+  /** Returns all grants of an organisation. Callers must not modify them. */
   grants(organisation: string): readonly GrantState[] {
     return [...(this.organisations.get(organisation)?.grants.values() ?? [])];
   }
 
-  /** Who won the claim of a request. */
+  /** The accepted claim of a request. */
   claim(organisation: string, requestId: string): ClaimState | undefined {
     return this.organisations.get(organisation)?.claims.get(requestId);
   }
 
-  /** Whether a request was billed within the remembered span. */
+  /** Whether a bill of the request was folded within the retention window. */
   isBilled(organisation: string, requestId: string): boolean {
     return (
       this.organisations.get(organisation)?.billedRequests.has(requestId) ??
@@ -157,14 +163,14 @@
     );
   }
 
-  /** Whether an entry identifier was seen within the remembered span. */
+  /** Whether the entry identifier was folded within the retention window. */
   hasSeen(organisation: string, entryId: string): boolean {
     return (
       this.organisations.get(organisation)?.seenEntries.has(entryId) ?? false
     );
   }
 
-  /** A checkpoint of the state as it is. */
+  /** Returns a checkpoint of the current state. */
   toCheckpoint(): LedgerCheckpoint {
     const state = create(LedgerStateSchema, {
       organisations: [...this.organisations.values()].map(books =>
@@ -172,7 +178,7 @@
       ),
     });
     return create(LedgerCheckpointSchema, {
-      throughOffset: this.next,
+      throughOffset: this.firstUnappliedOffset,
       state,
       digest: digestOfState(state),
     });
@@ -183,31 +189,36 @@
     writer: string,
     entry: LedgerEntry,
   ): EntryVerdict {
-    const ruling = this.rule(offset, writer, entry);
-    const duplicate = ruling === VerdictKind.Duplicate;
-    const accepted = ruling === RefusalReason.None;
+    const outcome = this.applyKind(offset, writer, entry);
+    const isDuplicate = outcome === VerdictKind.Duplicate;
+    const isAccepted = outcome === RefusalReason.None;
     return {
       entryId: entry.entryId,
       organisation: entry.organisation,
-      kind: duplicate
+      kind: isDuplicate
         ? VerdictKind.Duplicate
-        : accepted
+        : isAccepted
           ? VerdictKind.Accepted
           : VerdictKind.Refused,
-      reason: duplicate ? RefusalReason.None : ruling,
+      reason: isDuplicate ? RefusalReason.None : outcome,
     };
   }
 
-  private rule(offset: number, writer: string, entry: LedgerEntry): Ruling {
+  private applyKind(
+    offset: number,
+    writer: string,
+    entry: LedgerEntry,
+  ): EntryOutcome {
     if (entry.kind.case === 'checkpoint') {
-      return this.checkCheckpoint(offset, entry.kind.value);
+      return this.verifyCheckpoint(offset, entry.kind.value);
     }
     if (entry.entryId === '' || entry.organisation === '') {
       return RefusalReason.InvalidEntry;
     }
-    const books = this.booksOf(entry.organisation);
+    const books = this.getOrCreateBooks(entry.organisation);
     books.prune(offset);
-    // Bills and claims are recognised by their request identifier.
+    // Bills and claims are deduplicated by request identifier, not by entry
+    // identifier.
     if (entry.kind.case === 'bill') {
       return applyBill(books, entry.kind.value, offset);
     }
@@ -218,17 +229,18 @@
       return VerdictKind.Duplicate;
     }
     books.seenEntries.add(entry.entryId, offset);
-    return ruleOnce(books, entry, writer, offset);
+    return applyIdentifiedEntry(books, entry, writer, offset);
   }
 
   /**
-   * A checkpoint that follows right on the span that it covers can be compared
-   * with this reader's own state; else only with its own digest.
+   * Verifies a checkpoint. If it directly follows the records that it covers,
+   * its digest must equal that of this reader's state; otherwise only its own
+   * state and digest can be compared.
    */
-  private checkCheckpoint(
+  private verifyCheckpoint(
     offset: number,
     checkpoint: LedgerCheckpoint,
-  ): Ruling {
+  ): EntryOutcome {
     const {state, digest, throughOffset} = checkpoint;
     const expected =
       throughOffset === offset ? this.toCheckpoint().digest : digest;
@@ -240,10 +252,10 @@
       : RefusalReason.WrongDigest;
   }
 
-  private booksOf(organisation: string): OrganisationBooks {
-    const known = this.organisations.get(organisation);
-    if (known !== undefined) {
-      return known;
+  private getOrCreateBooks(organisation: string): OrganisationBooks {
+    const existing = this.organisations.get(organisation);
+    if (existing !== undefined) {
+      return existing;
     }
     const books = new OrganisationBooks(organisation);
     this.organisations.set(organisation, books);
@@ -251,12 +263,12 @@
   }
 }
 
-function ruleOnce(
+function applyIdentifiedEntry(
   books: OrganisationBooks,
   entry: LedgerEntry,
   writer: string,
   offset: number,
-): Ruling {
+): EntryOutcome {
   switch (entry.kind.case) {
     case 'topUp':
       return applyTopUp(books, entry.kind.value);
--- a/packages/ledger/src/organisation-books.ts
+++ b/packages/ledger/src/organisation-books.ts
@@ -8,25 +8,29 @@
   type OrganisationState,
 } from '@wisteriadeal/schema';
 
-import {RecentIdentifiers, REMEMBERED_OFFSETS} from './recent-identifiers.js';
+import {
+  IDENTIFIER_RETENTION_OFFSETS,
+  RecentIdentifiers,
+} from './recent-identifiers.js';
 
-/** Prefix under which the closing of a grant is remembered. */
+/** Prefix of the identifiers that record when grants were closed. */
 const CLOSED_PREFIX = 'closed:';
 
 /**
- * Prefix of the identifier of an organisation's opening budget. It is never
- * forgotten: every keeper may append the entry again at any later time, and a
- * second credit would be money from nowhere. There is one an organisation.
+ * Prefix of the entry identifier of an opening budget, of which each
+ * organisation has one. These identifiers are kept without a limit: any keeper
+ * may append the entry again at any later time, which must not credit the
+ * budget twice.
  */
 const OPENING_PREFIX = 'opening:';
 
-/** The identifier of the entry that credits an opening budget. */
+/** Returns the identifier of the entry that credits the opening budget. */
 export function openingEntryId(organisation: string): string {
   return OPENING_PREFIX + organisation;
 }
 
 /**
- * The state of one organisation. Its tokens add up at every offset:
+ * The state of one organisation. At every offset it satisfies the invariant
  * `credited - billed = unallocated + sum over grants of (tokens - billed)`.
  */
 export class OrganisationBooks {
@@ -40,7 +44,7 @@
 
   constructor(readonly organisation: string) {}
 
-  /** Restores what `toMessage` gave. */
+  /** Restores the state from the result of `toMessage`. */
   static from(state: OrganisationState): OrganisationBooks {
     const books = new OrganisationBooks(state.organisation);
     books.creditedTokens = state.creditedTokens;
@@ -57,7 +61,7 @@
     return books;
   }
 
-  /** A copy of the whole state. */
+  /** Returns a copy of the whole state. */
   toMessage(): OrganisationState {
     return create(OrganisationStateSchema, {
       organisation: this.organisation,
@@ -75,23 +79,27 @@
     });
   }
 
-  /** Keeps a grant that a record names before the transfer that made it. */
-  announce(grantId: string): GrantState {
+  /**
+   * Adds a grant that a record names before the record of the transfer that
+   * created it.
+   */
+  addAnnouncedGrant(grantId: string): GrantState {
     const grant = create(GrantStateSchema, {grantId, announcedByBill: true});
     this.grants.set(grantId, grant);
     return grant;
   }
 
-  /** Marks a grant as closed; it stays known while late records may name it. */
+  /** Marks a grant as closed. It is kept while late records may name it. */
   close(grant: GrantState, offset: number): void {
     grant.closed = true;
     this.seenEntries.add(CLOSED_PREFIX + grant.grantId, offset);
   }
 
   /**
-   * Forgets what is older than the remembered span. A closed grant is kept as
-   * long, since a late bill that names a forgotten grant would be taken for the
-   * announcement of a transfer.
+   * Removes identifiers, claims and closed grants that are older than the
+   * retention window. Closed grants are kept for the whole window, since a late
+   * bill that names a removed grant would be taken for one that precedes its
+   * transfer.
    */
   prune(offset: number): void {
     this.billedRequests.prune(offset);
@@ -99,18 +107,18 @@
       if (identifier.startsWith(OPENING_PREFIX)) {
         this.seenEntries.add(identifier, offset);
       } else {
-        this.forgetClosedGrant(identifier, offset);
+        this.removeExpiredClosedGrant(identifier, offset);
       }
     }
     for (const [requestId, claim] of this.claims) {
-      if (claim.offset >= offset - REMEMBERED_OFFSETS) {
+      if (claim.offset >= offset - IDENTIFIER_RETENTION_OFFSETS) {
         break;
       }
       this.claims.delete(requestId);
     }
   }
 
-  private forgetClosedGrant(identifier: string, offset: number): void {
+  private removeExpiredClosedGrant(identifier: string, offset: number): void {
     if (!identifier.startsWith(CLOSED_PREFIX)) {
       return;
     }
@@ -126,7 +134,10 @@
   }
 }
 
-/** Tokens of a grant that are neither billed nor inherited as reservations. */
+/**
+ * Returns the tokens of a grant that are not billed. For a closed grant, its
+ * inherited reservations are deducted too.
+ */
 export function spareTokens(grant: GrantState): number {
   const inherited = grant.closed
     ? grant.inherited.reduce((sum, open) => sum + open.boundTokens, 0)
--- a/packages/ledger/src/placement.ts
+++ b/packages/ledger/src/placement.ts
@@ -1,11 +1,12 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Names the log stream of an organisation. Everything of one organisation
- * stands in one stream, so that its order is the order of one stream's offsets.
+ * Returns the name of the log stream of an organisation. All records of an
+ * organisation are in one stream, so they are totally ordered by its offsets.
  *
- * @param ledgerStreams Number of streams; the same for the whole fleet, for
- *     ever, since another number would move organisations between streams.
+ * @param ledgerStreams Number of streams. It must be the same in the whole
+ *     fleet and never change, since another number would move organisations to
+ *     other streams.
  * @example
  * ```ts
  * ledgerStreamOf('ikaze-bar-school', 8); // 'ledger-3', say
@@ -20,10 +21,10 @@
 }
 
 /**
- * Orders keepers for an organisation by rendezvous hashing, best first. When a
- * keeper joins or leaves, only the organisations that it ranked first move.
+ * Ranks keepers for an organisation by rendezvous hashing, best first. When a
+ * keeper joins or leaves, only the organisations that rank it first are moved.
  *
- * @param incarnations Live, reachable keepers.
+ * @param incarnations Incarnations of live, reachable keepers.
  * @example
  * ```ts
  * const [holder, witness] = rankKeepers('org', incarnations);
@@ -45,11 +46,13 @@
 }
 
 /**
- * The holder of an organisation in a data centre. The choice serves efficiency
- * only: two keepers that both believe that they are chosen hold two grants.
+ * Returns the holder of an organisation in a data centre. Correctness does not
+ * depend on a unique choice: if two keepers with different membership views
+ * both choose themselves, each has its own grant.
  *
- * @param incarnations Live, reachable keepers of the data centre.
- * @returns undefined where there is none.
+ * @param incarnations Incarnations of live, reachable keepers of the data
+ *     centre.
+ * @returns undefined if there is no keeper.
  * @example
  * ```ts
  * chooseHolder('org', ['a/keeper/1', 'b/keeper/2']);
--- a/packages/ledger/src/recent-identifiers.ts
+++ b/packages/ledger/src/recent-identifiers.ts
@@ -2,19 +2,22 @@
 import {SeenIdentifierSchema, type SeenIdentifier} from '@wisteriadeal/schema';
 
 /**
- * How long identifiers stay remembered, in offsets of their stream. An append is
- * repeated until its writer sees it folded, which takes far fewer records than
- * this even after an outage of an hour at 100 appends a second in all over 8
- * streams (45,000 records a stream). Counting offsets and not time keeps every
- * reader's memory the same.
+ * Retention window of identifiers, in offsets of their stream. A writer repeats
+ * an append until it has folded it, which takes far fewer records than this,
+ * even after an outage of one hour at 100 appends per second over 8 streams
+ * (45,000 records per stream). The window is counted in offsets instead of
+ * time, so that all readers retain the same identifiers.
  */
-export const REMEMBERED_OFFSETS = 65_536;
+export const IDENTIFIER_RETENTION_OFFSETS = 65_536;
 
-/** Identifiers seen within the last REMEMBERED_OFFSETS offsets. */
+/**
+ * Identifiers folded within the last `IDENTIFIER_RETENTION_OFFSETS` offsets,
+ * each with its first offset.
+ */
 export class RecentIdentifiers {
   private readonly offsets = new Map<string, number>();
 
-  /** Restores what `toMessages` gave. */
+  /** Restores the identifiers from the result of `toMessages`. */
   static from(messages: readonly SeenIdentifier[]): RecentIdentifiers {
     const identifiers = new RecentIdentifiers();
     for (const {identifier, offset} of messages) {
@@ -23,32 +26,35 @@
     return identifiers;
   }
 
-  /** Whether the identifier is remembered. */
+  /** Whether the identifier is retained. */
   has(identifier: string): boolean {
     return this.offsets.has(identifier);
   }
 
-  /** Remembers an identifier; the first offset stays. */
+  /**
+   * Adds an identifier. An identifier that is already present keeps its first
+   * offset.
+   */
   add(identifier: string, offset: number): void {
     if (!this.offsets.has(identifier)) {
       this.offsets.set(identifier, offset);
     }
   }
 
-  /** Forgets what is too old, and returns it. */
+  /** Removes and returns the identifiers older than the retention window. */
   prune(offset: number): readonly string[] {
-    const forgotten: string[] = [];
-    for (const [identifier, seen] of this.offsets) {
-      if (seen >= offset - REMEMBERED_OFFSETS) {
+    const removed: string[] = [];
+    for (const [identifier, firstOffset] of this.offsets) {
+      if (firstOffset >= offset - IDENTIFIER_RETENTION_OFFSETS) {
         break;
       }
       this.offsets.delete(identifier);
-      forgotten.push(identifier);
+      removed.push(identifier);
     }
-    return forgotten;
+    return removed;
   }
 
-  /** Oldest first. */
+  /** Returns all identifiers, oldest first. */
   toMessages(): SeenIdentifier[] {
     return [...this.offsets].map(([identifier, offset]) =>
       create(SeenIdentifierSchema, {identifier, offset}),
--- a/packages/ledger/src/test/escrow-model.ts
+++ b/packages/ledger/src/test/escrow-model.ts
@@ -21,28 +21,38 @@
 >;
 
 const ORGANISATION = 'org';
-/** Grants are larger than reservations, so that several share one. */
+/**
+ * Size of grants relative to reservations, so that several requests share a
+ * grant.
+ */
 const GRANT_MULTIPLE = 4;
 
-/** One change on its way to a witness, and what to do once it is known there. */
-interface ChannelItem {
+/**
+ * A change in transit to a witness, with the callback for its acknowledgement.
+ */
+interface PendingChange {
   readonly change: BookChange;
-  readonly acknowledged: () => void;
+  readonly onAcknowledged: () => void;
 }
 
-interface Holding {
+interface HeldGrant {
   readonly book: HolderBook;
   witness: string;
-  candidate: string | undefined;
+  proposedWitness: string | undefined;
 }
 
-/** A request that was dispatched: from then on it costs its bound or its bill. */
-interface Dispatched {
+/**
+ * A dispatched request; it commits its bound until it is settled, then its
+ * bill.
+ */
+interface DispatchedRequest {
   readonly boundTokens: number;
   chargedTokens: number | undefined;
 }
 
-/** What one step does; numbers pick the actor and the object. */
+/**
+ * One step; its numbers select the actor, the affected object and the amount.
+ */
 export interface Step {
   readonly kind: StepKind;
   readonly actor: number;
@@ -50,7 +60,7 @@
   readonly amount: number;
 }
 
-/** The kinds of steps, each of which can happen at any moment. */
+/** The kinds of steps; any of them can follow any other. */
 export enum StepKind {
   TopUp,
   Grant,
@@ -70,34 +80,38 @@
   BillInherited,
 }
 
-/** A keeper: holder of its own grants and witness of its neighbours'. */
+/**
+ * A keeper: the holder of its own grants and a witness of grants of other
+ * keepers.
+ */
 class Actor {
   readonly fold = new LedgerFold();
-  readonly holdings = new Map<string, Holding>();
+  readonly holdings = new Map<string, HeldGrant>();
   readonly witnessBook = new WitnessBook();
   readonly undecidedReclaims = new Set<string>();
-  readonly channels = new Map<string, ChannelItem[]>();
-  readonly unappended: LedgerEntry[] = [];
-  position = 0;
+  readonly channels = new Map<string, PendingChange[]>();
+  readonly pendingEntries: LedgerEntry[] = [];
+  nextOffset = 0;
 
   constructor(readonly name: string) {}
 }
 
 /**
- * Holders and witnesses over one log, driven step by step in any order. Each
- * reads the log at its own pace, which is what a partition from the platform
- * means; changes reach a witness in order or are lost with their channel.
+ * A model of holders and witnesses that share one log, executed step by step in
+ * any order. Each keeper reads the log at its own pace, which models a
+ * partition from the platform. Changes reach a witness in order or are lost
+ * when their channel breaks.
  */
 export class EscrowModel {
   readonly log: LedgerBatch[] = [];
-  readonly truth = new LedgerFold();
-  readonly dispatched = new Map<string, Dispatched>();
-  /** Sum of distinct top-ups: what the operators really paid in. */
-  paidTokens = 0;
+  readonly referenceFold = new LedgerFold();
+  readonly dispatched = new Map<string, DispatchedRequest>();
+  /** Sum of the distinct top-ups, in tokens; repeated records do not count. */
+  toppedUpTokens = 0;
   private readonly actors: readonly Actor[];
   private readonly fenced: {readonly actor: Actor; readonly grantId: string}[] =
     [];
-  private counter = 0;
+  private lastIdentifier = 0;
 
   constructor(actors: number) {
     this.actors = Array.from(
@@ -106,20 +120,23 @@
     );
   }
 
-  /** Does one step; one that is impossible now does nothing. */
+  /**
+   * Executes one step. A step that is not possible in the current state has no
+   * effect.
+   */
   step({kind, actor: index, pick, amount}: Step): void {
-    const actor = this.at(index);
+    const actor = this.actorAt(index);
     const holding = this.pickHolding(actor, pick);
     switch (kind) {
       case StepKind.TopUp:
-        this.paidTokens += amount;
+        this.toppedUpTokens += amount;
         this.append('operator', {case: 'topUp', value: {tokens: amount}});
         return;
       case StepKind.Grant:
         this.grant(actor, pick, GRANT_MULTIPLE * amount);
         return;
       case StepKind.Read:
-        this.read(actor, 1 + (pick % 8));
+        this.readRecords(actor, 1 + (pick % 8));
         return;
       case StepKind.Reserve:
         this.reserve(actor, holding, amount);
@@ -128,7 +145,7 @@
         this.deliver(pick, 1 + (amount % 4));
         return;
       case StepKind.Break:
-        this.breakChannel(actor, this.at(pick));
+        this.breakChannel(actor, this.actorAt(pick));
         return;
       case StepKind.Settle:
         this.settle(actor, holding, pick, amount);
@@ -140,13 +157,13 @@
         this.appendPending(actor);
         return;
       case StepKind.Repeat:
-        this.repeat(pick);
+        this.repeatRecord(pick);
         return;
       case StepKind.Return:
-        this.giveBack(actor, holding, amount);
+        this.returnTokens(actor, holding, amount);
         return;
       case StepKind.Transfer:
-        this.transfer(actor, holding, this.at(pick), amount);
+        this.transfer(actor, holding, this.actorAt(pick), amount);
         return;
       case StepKind.Fence:
         this.fence(pick);
@@ -163,9 +180,12 @@
     }
   }
 
-  /** What was or can yet be spent, by anybody, whatever happens next. */
+  /**
+   * Upper bound on the tokens that have been or can still be spent by any
+   * holder.
+   */
   get committedTokens(): number {
-    let committed = this.truth.totals(ORGANISATION).unallocatedTokens;
+    let committed = this.referenceFold.totals(ORGANISATION).unallocatedTokens;
     for (const request of this.dispatched.values()) {
       committed += request.chargedTokens ?? request.boundTokens;
     }
@@ -173,13 +193,13 @@
     for (const actor of this.actors) {
       for (const [grantId, {book}] of actor.holdings) {
         opened.add(grantId);
-        const state = this.truth.grant(ORGANISATION, grantId);
+        const state = this.referenceFold.grant(ORGANISATION, grantId);
         if (state?.closed !== true) {
           committed += book.freeTokens;
         }
       }
     }
-    for (const grant of this.truth.grants(ORGANISATION)) {
+    for (const grant of this.referenceFold.grants(ORGANISATION)) {
       if (!grant.closed && !opened.has(grant.grantId)) {
         committed += grant.tokens;
       }
@@ -187,13 +207,17 @@
     return committed;
   }
 
-  /** The whole network heals: everything pending is appended, read and billed. */
-  heal(): void {
+  /**
+   * Recovers the network: appends all pending entries, lets every keeper read
+   * the whole log, and settles and bills all dispatched requests that are still
+   * open.
+   */
+  recover(): void {
     for (const actor of this.actors) {
       this.appendPending(actor);
     }
     for (const actor of this.actors) {
-      this.read(actor, Infinity);
+      this.readRecords(actor, Infinity);
       this.appendPending(actor);
     }
     for (const actor of this.actors) {
@@ -209,7 +233,7 @@
     }
   }
 
-  private at(index: number): Actor {
+  private actorAt(index: number): Actor {
     const actor = this.actors[index % this.actors.length];
     if (actor === undefined) {
       throw new Error('the model has no actors');
@@ -217,15 +241,15 @@
     return actor;
   }
 
-  private pickHolding(actor: Actor, pick: number): Holding | undefined {
+  private pickHolding(actor: Actor, pick: number): HeldGrant | undefined {
     const holdings = [...actor.holdings.values()];
     return holdings[pick % Math.max(1, holdings.length)];
   }
 
   private entry(kind: EntryKind): LedgerEntry {
-    this.counter += 1;
+    this.lastIdentifier += 1;
     return create(LedgerEntrySchema, {
-      entryId: `entry-${this.counter}`,
+      entryId: `entry-${this.lastIdentifier}`,
       organisation: ORGANISATION,
       kind,
     });
@@ -237,12 +261,15 @@
 
   private appendEntries(writer: string, entries: LedgerEntry[]): void {
     const batch = create(LedgerBatchSchema, {writer, entries});
-    this.truth.applyBatch(this.log.length, batch);
+    this.referenceFold.applyBatch(this.log.length, batch);
     this.log.push(batch);
   }
 
-  /** A lost answer makes its writer append the same again, much later even. */
-  private repeat(pick: number): void {
+  /**
+   * Appends an earlier record again, as a writer does after a lost answer,
+   * however late.
+   */
+  private repeatRecord(pick: number): void {
     const batch = this.log[pick % Math.max(1, this.log.length)];
     if (batch !== undefined) {
       this.appendEntries(batch.writer, batch.entries);
@@ -250,7 +277,7 @@
   }
 
   private appendPending(actor: Actor): void {
-    const entries = actor.unappended.splice(0);
+    const entries = actor.pendingEntries.splice(0);
     if (entries.length > 0) {
       this.appendEntries(actor.name, entries);
     }
@@ -262,11 +289,11 @@
   }
 
   private grant(actor: Actor, pick: number, tokens: number): void {
-    this.counter += 1;
+    this.lastIdentifier += 1;
     this.append(actor.name, {
       case: 'grant',
       value: {
-        grantId: `grant-${this.counter}`,
+        grantId: `grant-${this.lastIdentifier}`,
         tokens,
         minimumTokens: 1,
         holder: actor.name,
@@ -275,27 +302,27 @@
     });
   }
 
-  private read(actor: Actor, records: number): void {
-    const end = Math.min(this.log.length, actor.position + records);
-    while (actor.position < end) {
-      const batch = this.log[actor.position];
+  private readRecords(actor: Actor, records: number): void {
+    const end = Math.min(this.log.length, actor.nextOffset + records);
+    while (actor.nextOffset < end) {
+      const batch = this.log[actor.nextOffset];
       if (batch !== undefined) {
-        this.fold(actor, batch);
+        this.foldRecord(actor, batch);
       }
-      actor.position += 1;
+      actor.nextOffset += 1;
     }
   }
 
-  private fold(actor: Actor, batch: LedgerBatch): void {
-    const verdicts = actor.fold.applyBatch(actor.position, batch);
+  private foldRecord(actor: Actor, batch: LedgerBatch): void {
+    const verdicts = actor.fold.applyBatch(actor.nextOffset, batch);
     for (const [index, {kind}] of batch.entries.entries()) {
       if (kind.case === 'reclaim' && batch.writer === actor.name) {
-        this.reclaimDecided(actor, kind.value.grantId, verdicts[index]);
+        this.handleReclaimVerdict(actor, kind.value.grantId, verdicts[index]);
       }
       if (kind.case === 'grant' && kind.value.holder === actor.name) {
         const state = actor.fold.grant(ORGANISATION, kind.value.grantId);
         if (state !== undefined && !state.closed) {
-          this.open(actor, state.grantId, state.tokens, state.witness);
+          this.openBook(actor, state.grantId, state.tokens, state.witness);
         }
       }
     }
@@ -304,14 +331,14 @@
         ORGANISATION,
         holding.book.opening.grantId,
       );
-      if (state !== undefined && holding.candidate === state.witness) {
+      if (state !== undefined && holding.proposedWitness === state.witness) {
         holding.witness = state.witness;
-        holding.candidate = undefined;
+        holding.proposedWitness = undefined;
       }
     }
   }
 
-  private open(
+  private openBook(
     actor: Actor,
     grantId: string,
     tokens: number,
@@ -327,31 +354,35 @@
       holder: actor.name,
       dataCenter: 'a',
     });
-    const holding = {book, witness, candidate: undefined};
+    const holding = {book, witness, proposedWitness: undefined};
     actor.holdings.set(grantId, holding);
-    this.commit(actor, holding, book.opened(), () => undefined);
+    this.replicate(actor, holding, book.opened(), () => undefined);
   }
 
-  /** Every witness that may be in force has to acknowledge. */
-  private commit(
+  /**
+   * Sends a change to the current and the proposed witness, either of which may
+   * be in force. `onAcknowledged` is called once all of them have acknowledged
+   * it.
+   */
+  private replicate(
     actor: Actor,
-    holding: Holding,
+    holding: HeldGrant,
     change: BookChange,
-    done: () => void,
+    onAcknowledged: () => void,
   ): void {
-    const witnesses = [holding.witness, holding.candidate].flatMap(
+    const witnesses = [holding.witness, holding.proposedWitness].flatMap(
       witness => witness ?? [],
     );
-    let missing = witnesses.length;
+    let unacknowledgedCount = witnesses.length;
     for (const witness of witnesses) {
       const channel = actor.channels.get(witness) ?? [];
       actor.channels.set(witness, channel);
       channel.push({
         change,
-        acknowledged: () => {
-          missing -= 1;
-          if (missing === 0) {
-            done();
+        onAcknowledged: () => {
+          unacknowledgedCount -= 1;
+          if (unacknowledgedCount === 0) {
+            onAcknowledged();
           }
         },
       });
@@ -359,23 +390,27 @@
   }
 
   private deliver(pick: number, items: number): void {
-    const waiting = this.actors.flatMap(actor =>
+    const nonEmptyChannels = this.actors.flatMap(actor =>
       [...actor.channels]
         .filter(([, channel]) => channel.length > 0)
         .map(([witness, channel]) => ({witness, channel})),
     );
-    const chosen = waiting[pick % Math.max(1, waiting.length)];
+    const chosen =
+      nonEmptyChannels[pick % Math.max(1, nonEmptyChannels.length)];
     const witness = this.actors.find(
       actor => actor.name === chosen?.witness,
     )?.witnessBook;
     for (const item of chosen?.channel.splice(0, items) ?? []) {
       if (witness?.apply(item.change) === BookChangeResult.Applied) {
-        item.acknowledged();
+        item.onAcknowledged();
       }
     }
   }
 
-  /** What was not acknowledged counts as lost; the next stream starts anew. */
+  /**
+   * Breaks the channel to a witness. Unacknowledged changes are lost, and the
+   * next channel starts with the whole books.
+   */
   private breakChannel(actor: Actor, witness: Actor): void {
     const channel = actor.channels.get(witness.name) ?? [];
     for (const {change} of channel) {
@@ -390,27 +425,27 @@
       witness.name,
       [...actor.holdings.values()]
         .filter(holding =>
-          [holding.witness, holding.candidate].includes(witness.name),
+          [holding.witness, holding.proposedWitness].includes(witness.name),
         )
         .map(holding => ({
           change: holding.book.opened(),
-          acknowledged: () => undefined,
+          onAcknowledged: () => undefined,
         })),
     );
   }
 
   private reserve(
     actor: Actor,
-    holding: Holding | undefined,
+    holding: HeldGrant | undefined,
     boundTokens: number,
   ): void {
-    this.counter += 1;
-    const requestId = `request-${this.counter}`;
+    this.lastIdentifier += 1;
+    const requestId = `request-${this.lastIdentifier}`;
     const change = holding?.book.reserve(
       create(RequestReservationSchema, {reservation: {requestId, boundTokens}}),
     );
     if (holding !== undefined && change !== undefined) {
-      this.commit(actor, holding, change, () => {
+      this.replicate(actor, holding, change, () => {
         const stillOpen = holding.book.openReservations.some(
           open => open.reservation?.requestId === requestId,
         );
@@ -424,14 +459,14 @@
     }
   }
 
-  private openRequest(holding: Holding, pick: number): string | undefined {
+  private openRequest(holding: HeldGrant, pick: number): string | undefined {
     const open = holding.book.openReservations;
     return open[pick % Math.max(1, open.length)]?.reservation?.requestId;
   }
 
   private settle(
     actor: Actor,
-    holding: Holding | undefined,
+    holding: HeldGrant | undefined,
     pick: number,
     amount: number,
   ): void {
@@ -444,7 +479,7 @@
     ) {
       const change = this.queueBill(actor, holding.book, requestId, amount);
       if (change !== undefined) {
-        this.commit(actor, holding, change, () => undefined);
+        this.replicate(actor, holding, change, () => undefined);
       }
     }
   }
@@ -461,13 +496,15 @@
       return undefined;
     }
     request.chargedTokens = change.kind.value.tokens;
-    actor.unappended.push(this.entry({case: 'bill', value: change.kind.value}));
+    actor.pendingEntries.push(
+      this.entry({case: 'bill', value: change.kind.value}),
+    );
     return change;
   }
 
   private release(
     actor: Actor,
-    holding: Holding | undefined,
+    holding: HeldGrant | undefined,
     pick: number,
   ): void {
     const requestId =
@@ -479,19 +516,19 @@
     ) {
       const change = holding.book.release(requestId);
       if (change !== undefined) {
-        this.commit(actor, holding, change, () => undefined);
+        this.replicate(actor, holding, change, () => undefined);
       }
     }
   }
 
-  private giveBack(
+  private returnTokens(
     actor: Actor,
-    holding: Holding | undefined,
+    holding: HeldGrant | undefined,
     amount: number,
   ): void {
     if (holding?.book.giveBack(amount) !== undefined) {
       const {grantId} = holding.book.opening;
-      actor.unappended.push(
+      actor.pendingEntries.push(
         this.entry({case: 'return', value: {grantId, tokens: amount}}),
       );
     }
@@ -499,26 +536,26 @@
 
   private transfer(
     actor: Actor,
-    holding: Holding | undefined,
-    taker: Actor,
+    holding: HeldGrant | undefined,
+    recipient: Actor,
     tokens: number,
   ): void {
-    this.counter += 1;
+    this.lastIdentifier += 1;
     const transfer = create(TransferSchema, {
-      transferId: `transfer-${this.counter}`,
+      transferId: `transfer-${this.lastIdentifier}`,
       tokens,
-      toHolder: taker.name,
-      toWitness: this.witnessOf(taker, tokens),
+      toHolder: recipient.name,
+      toWitness: this.witnessOf(recipient, tokens),
     });
     const change = holding?.book.transferOut(transfer);
     if (holding === undefined || change?.kind.case !== 'transferred') {
       return;
     }
     const {value} = change.kind;
-    this.commit(actor, holding, change, () => {
-      this.open(taker, value.transferId, value.tokens, value.toWitness);
-      actor.unappended.push(this.entry({case: 'transfer', value}));
-      taker.unappended.push(this.entry({case: 'transfer', value}));
+    this.replicate(actor, holding, change, () => {
+      this.openBook(recipient, value.transferId, value.tokens, value.toWitness);
+      actor.pendingEntries.push(this.entry({case: 'transfer', value}));
+      recipient.pendingEntries.push(this.entry({case: 'transfer', value}));
     });
   }
 
@@ -557,7 +594,7 @@
     }
   }
 
-  private reclaimDecided(
+  private handleReclaimVerdict(
     actor: Actor,
     grantId: string,
     verdict: EntryVerdict | undefined,
@@ -573,37 +610,40 @@
 
   private changeWitness(
     actor: Actor,
-    holding: Holding | undefined,
+    holding: HeldGrant | undefined,
     pick: number,
   ): void {
-    if (holding === undefined || holding.candidate !== undefined) {
+    if (holding === undefined || holding.proposedWitness !== undefined) {
       return;
     }
-    const to = this.witnessOf(actor, pick);
-    if (to === holding.witness) {
+    const newWitness = this.witnessOf(actor, pick);
+    if (newWitness === holding.witness) {
       return;
     }
-    holding.candidate = to;
-    const channel = actor.channels.get(to) ?? [];
-    actor.channels.set(to, channel);
+    holding.proposedWitness = newWitness;
+    const channel = actor.channels.get(newWitness) ?? [];
+    actor.channels.set(newWitness, channel);
     channel.push({
       change: holding.book.opened(),
-      acknowledged: () => {
+      onAcknowledged: () => {
         this.append(actor.name, {
           case: 'witnessChange',
           value: {
             grantId: holding.book.opening.grantId,
             from: holding.witness,
-            to,
+            to: newWitness,
           },
         });
       },
     });
   }
 
-  /** A witness that inherited a request bills its bound where nobody can tell. */
+  /**
+   * Bills the bound of an inherited request, as a witness does if the outcome
+   * of the request cannot be determined.
+   */
   private billInherited(pick: number): void {
-    const inherited = this.truth
+    const inherited = this.referenceFold
       .grants(ORGANISATION)
       .flatMap(grant =>
         grant.inherited.map(open => ({grant, requestId: open.requestId, open})),
--- a/packages/ledger/src/test/escrow_test.ts
+++ b/packages/ledger/src/test/escrow_test.ts
@@ -7,7 +7,7 @@
 const SEED = 20_261_202;
 const RUNS = 240;
 const ACTORS = 3;
-const LARGEST_AMOUNT = 12;
+const MAXIMUM_AMOUNT = 12;
 
 const kinds = Object.values(StepKind).filter(
   (kind): kind is StepKind => typeof kind === 'number',
@@ -16,7 +16,7 @@
 const step: fc.Arbitrary<Step> = fc.record({
   kind: fc.constantFrom(
     ...kinds,
-    // What requests do most, so that runs get far.
+    // The steps of a request are weighted, so that runs reach deep states.
     StepKind.Grant,
     StepKind.Read,
     StepKind.Read,
@@ -29,83 +29,86 @@
   ),
   actor: fc.nat(ACTORS - 1),
   pick: fc.nat(1_000),
-  amount: fc.integer({min: 1, max: LARGEST_AMOUNT}),
+  amount: fc.integer({min: 1, max: MAXIMUM_AMOUNT}),
 });
 
 const steps = fc.array(step, {minLength: 100, maxLength: 400});
 
-function start(): EscrowModel {
+function createModel(): EscrowModel {
   const model = new EscrowModel(ACTORS);
   model.step({kind: StepKind.TopUp, actor: 0, pick: 0, amount: 100});
   return model;
 }
 
 describe('escrow', () => {
-  // Holders, witnesses and the log take steps in any order: records repeat after
-  // lost answers, readers lag as in a partition, channels break, witnesses fence
-  // holders that are alive and go on. A caller must never be served past the
-  // budget, so what is spent or can yet be spent never exceeds what was credited.
-  it('never lets more be spent than was credited, at any step', () => {
+  // Guards against serving callers beyond their budget when holders, witnesses
+  // and the log take steps in any order: records are repeated after lost
+  // answers, readers lag as in a partition, channels break, and witnesses fence
+  // holders that are alive and continue.
+  it('never commits more tokens than were credited, at any step', () => {
     fc.assert(
       fc.property(steps, sequence => {
-        const model = start();
+        const model = createModel();
         for (const next of sequence) {
           model.step(next);
           const {creditedTokens, unallocatedTokens, billedTokens} =
-            model.truth.totals('org');
-          expect(creditedTokens).toBe(model.paidTokens);
+            model.referenceFold.totals('org');
+          expect(creditedTokens).toBe(model.toppedUpTokens);
           expect(model.committedTokens).toBeLessThanOrEqual(creditedTokens);
-          const held = model.truth
+          const heldTokens = model.referenceFold
             .grants('org')
             .reduce((sum, grant) => sum + grant.tokens - grant.billedTokens, 0);
-          expect(unallocatedTokens + held).toBe(creditedTokens - billedTokens);
+          expect(unallocatedTokens + heldTokens).toBe(
+            creditedTokens - billedTokens,
+          );
         }
       }),
       {seed: SEED, numRuns: RUNS},
     );
   });
 
-  // The network heals after any of that, and every bill reaches the log: each
-  // request that was dispatched has exactly one bill, because what the holder
-  // says late counts against what its witness listed.
-  it('bills every dispatched request once after the network heals', () => {
+  // Guards against lost bills after any of these failures. Once the network has
+  // recovered, every dispatched request has exactly one bill, because the late
+  // bills of a holder count against the reservations that its witness listed.
+  it('bills every dispatched request once after the network recovers', () => {
     fc.assert(
       fc.property(steps, sequence => {
-        const model = start();
+        const model = createModel();
         sequence.forEach(next => {
           model.step(next);
         });
-        model.heal();
+        model.recover();
         for (const requestId of model.dispatched.keys()) {
-          expect(model.truth.isBilled('org', requestId)).toBe(true);
+          expect(model.referenceFold.isBilled('org', requestId)).toBe(true);
         }
       }),
       {seed: SEED, numRuns: RUNS},
     );
   });
 
-  // Old records expire; a fresh keeper starts from a checkpoint in the middle.
-  // It must reach the same state and verdicts as one that read everything.
-  it('folds from a checkpoint as from the start', () => {
+  // Old records expire, so a new keeper starts from a checkpoint. Guards
+  // against a state or verdicts that differ from those of a keeper that read
+  // all records.
+  it('reaches the same state from a checkpoint as from the first record', () => {
     fc.assert(
-      fc.property(steps, fc.nat(), (sequence, cutAt) => {
-        const model = start();
+      fc.property(steps, fc.nat(), (sequence, checkpointSelector) => {
+        const model = createModel();
         sequence.forEach(next => {
           model.step(next);
         });
-        const cut = cutAt % model.log.length;
-        const whole = new LedgerFold();
-        let shortened: LedgerFold | undefined;
+        const checkpointOffset = checkpointSelector % model.log.length;
+        const fullFold = new LedgerFold();
+        let restoredFold: LedgerFold | undefined;
         model.log.forEach((batch, offset) => {
-          if (offset === cut) {
-            shortened = LedgerFold.fromCheckpoint(whole.toCheckpoint());
+          if (offset === checkpointOffset) {
+            restoredFold = LedgerFold.fromCheckpoint(fullFold.toCheckpoint());
           }
-          const verdicts = whole.applyBatch(offset, batch);
-          if (shortened !== undefined) {
-            expect(shortened.applyBatch(offset, batch)).toEqual(verdicts);
+          const verdicts = fullFold.applyBatch(offset, batch);
+          if (restoredFold !== undefined) {
+            expect(restoredFold.applyBatch(offset, batch)).toEqual(verdicts);
           }
         });
-        expect(shortened?.toCheckpoint()).toEqual(whole.toCheckpoint());
+        expect(restoredFold?.toCheckpoint()).toEqual(fullFold.toCheckpoint());
       }),
       {seed: SEED, numRuns: RUNS / 4},
     );
--- a/packages/ledger/src/test/ledger-fold_test.ts
+++ b/packages/ledger/src/test/ledger-fold_test.ts
@@ -9,12 +9,12 @@
   MessageInitShape<typeof LedgerEntrySchema>['kind']
 >;
 
-/** Appends one entry a record, in order, and folds it. */
+/** A log that appends each entry as its own record and folds it. */
 class Log {
   readonly fold = new LedgerFold();
   private offset = 0;
 
-  add(writer: string, entryId: string, kind: EntryKind) {
+  append(writer: string, entryId: string, kind: EntryKind) {
     const entry = create(LedgerEntrySchema, {
       entryId,
       organisation: 'org',
@@ -25,35 +25,35 @@
   }
 
   topUp(tokens: number, entryId = 'opening') {
-    return this.add('operator', entryId, {case: 'topUp', value: {tokens}});
+    return this.append('operator', entryId, {case: 'topUp', value: {tokens}});
   }
 
   grant(grantId: string, tokens: number, holder = 'h', witness = 'w') {
-    return this.add(holder, `grant:${grantId}`, {
+    return this.append(holder, `grant:${grantId}`, {
       case: 'grant',
       value: {grantId, tokens, minimumTokens: 1, holder, witness},
     });
   }
 
   bill(requestId: string, grantId: string, tokens: number) {
-    return this.add('h', `bill:${requestId}`, {
+    return this.append('h', `bill:${requestId}`, {
       case: 'bill',
       value: {requestId, grantId, tokens, confirmed: true},
     });
   }
 
-  /** Unallocated, billed and what open grants have left. */
+  /** Unallocated tokens, unbilled tokens of all grants, and billed tokens. */
   totals() {
     const {unallocatedTokens, billedTokens} = this.fold.totals('org');
-    const held = this.fold
+    const heldTokens = this.fold
       .grants('org')
       .reduce((sum, grant) => sum + grant.tokens - grant.billedTokens, 0);
-    return [unallocatedTokens, held, billedTokens];
+    return [unallocatedTokens, heldTokens, billedTokens];
   }
 }
 
 describe('LedgerFold', () => {
-  it('gives what remains, and refuses what does not', () => {
+  it('grants the remaining tokens and refuses requests beyond them', () => {
     const log = new Log();
     log.topUp(100);
     expect(log.topUp(100)?.kind).toBe(VerdictKind.Duplicate);
@@ -64,7 +64,7 @@
     expect(log.topUp(1.5, 'half')?.reason).toBe(RefusalReason.InvalidAmount);
   });
 
-  it('bills a request once, whatever repeats', () => {
+  it('bills a request once if its bill is repeated', () => {
     const log = new Log();
     log.topUp(100);
     log.grant('g1', 50);
@@ -74,16 +74,16 @@
     expect(log.totals()).toEqual([50, 40, 10]);
   });
 
-  it('takes a chain of transfers whose records arrive backwards', () => {
+  it('accepts a chain of transfers whose records arrive in reverse order', () => {
     const log = new Log();
     log.topUp(100);
     log.grant('a', 60);
     log.bill('r1', 'c', 5);
-    log.add('x', 'c', {
+    log.append('x', 'c', {
       case: 'transfer',
       value: {transferId: 'c', fromGrant: 'b', tokens: 10, toHolder: 'hc'},
     });
-    log.add('x', 'b', {
+    log.append('x', 'b', {
       case: 'transfer',
       value: {transferId: 'b', fromGrant: 'a', tokens: 30, toHolder: 'hb'},
     });
@@ -97,10 +97,10 @@
     expect(log.totals()).toEqual([40, 55, 5]);
   });
 
-  // The holder is lost with one request open, one settled but not billed, and
-  // wakes after the reclaim: its bills arrive late, its return arrives late. The
-  // caller sees nothing; the books must count each token once.
-  it('counts late records of a lost holder only against what was inherited', () => {
+  // Guards against counting tokens twice when a lost holder resumes after the
+  // reclaim. It had one open request and one settled but unbilled request, and
+  // its bills and its return arrive late. The caller notices nothing of this.
+  it('counts late records of a lost holder only against inherited reservations', () => {
     const log = new Log();
     log.topUp(100);
     log.grant('g', 80);
@@ -111,26 +111,27 @@
       settled: [{requestId: 'settled', grantId: 'g', tokens: 7}],
     };
     expect(
-      log.add('other', 'early', {case: 'reclaim', value: reclaim})?.reason,
+      log.append('other', 'early', {case: 'reclaim', value: reclaim})?.reason,
     ).toBe(RefusalReason.NotWitness);
-    log.add('w', 'reclaim', {case: 'reclaim', value: reclaim});
+    log.append('w', 'reclaim', {case: 'reclaim', value: reclaim});
     expect(log.totals()).toEqual([73, 20, 7]);
 
     expect(log.bill('settled', 'g', 7)?.kind).toBe(VerdictKind.Duplicate);
     expect(log.bill('new', 'g', 1)?.reason).toBe(RefusalReason.NotInherited);
     const late = {grantId: 'g', tokens: 5, closes: false};
-    expect(log.add('h', 'late', {case: 'return', value: late})?.reason).toBe(
+    expect(log.append('h', 'late', {case: 'return', value: late})?.reason).toBe(
       RefusalReason.GrantClosed,
     );
     log.bill('open', 'g', 12);
     expect(log.totals()).toEqual([81, 0, 19]);
     expect(
-      log.add('w', 'again', {case: 'reclaim', value: reclaim})?.reason,
+      log.append('w', 'again', {case: 'reclaim', value: reclaim})?.reason,
     ).toBe(RefusalReason.GrantClosed);
   });
 
-  it('frees what a closed grant keeps for a request that another grant billed', () => {
-    // Guards against tokens that stay reserved for ever under a reclaimed grant.
+  it('releases the reservation of a closed grant for a request billed under another grant', () => {
+    // Guards against tokens that stay reserved permanently under a reclaimed
+    // grant.
     const log = new Log();
     log.topUp(100);
     log.grant('lost', 40);
@@ -143,7 +144,7 @@
         {requestId: 'once', boundTokens: 5},
       ],
     };
-    log.add('w', 'reclaim', {case: 'reclaim', value: reclaim});
+    log.append('w', 'reclaim', {case: 'reclaim', value: reclaim});
     expect(log.totals()).toEqual([35, 65, 0]);
     log.bill('twice', 'other', 12);
     expect(log.totals()).toEqual([55, 33, 12]);
@@ -152,32 +153,32 @@
     expect(log.totals()).toEqual([55, 28, 17]);
   });
 
-  it('lets log order decide between a change of witness and a reclaim', () => {
+  it('decides between a witness change and a reclaim by log order', () => {
     const log = new Log();
     log.topUp(100);
     log.grant('g', 80);
     const change = {grantId: 'g', from: 'w', to: 'v'};
-    log.add('h', 'change', {case: 'witnessChange', value: change});
+    log.append('h', 'change', {case: 'witnessChange', value: change});
     const reclaim = {grantId: 'g', witness: 'w'};
     expect(
-      log.add('w', 'reclaim', {case: 'reclaim', value: reclaim})?.reason,
+      log.append('w', 'reclaim', {case: 'reclaim', value: reclaim})?.reason,
     ).toBe(RefusalReason.NotWitness);
   });
 
-  it('gives a claim to the first in log order', () => {
+  it('accepts the first claim in log order', () => {
     const log = new Log();
     const claim = {requestId: 'r', claimant: 'router-1', attemptId: 'r.1'};
-    log.add('k1', 'c1', {case: 'claim', value: claim});
-    expect(log.add('k1', 'c1', {case: 'claim', value: claim})?.kind).toBe(
+    log.append('k1', 'c1', {case: 'claim', value: claim});
+    expect(log.append('k1', 'c1', {case: 'claim', value: claim})?.kind).toBe(
       VerdictKind.Duplicate,
     );
     const second = {...claim, claimant: 'router-2'};
-    expect(log.add('k2', 'c2', {case: 'claim', value: second})?.reason).toBe(
+    expect(log.append('k2', 'c2', {case: 'claim', value: second})?.reason).toBe(
       RefusalReason.ClaimLost,
     );
   });
 
-  it('starts from a checkpoint, but not from one with a wrong digest', () => {
+  it('restores a checkpoint unless its digest is wrong', () => {
     const log = new Log();
     log.topUp(100);
     log.grant('g', 80);
--- a/packages/ledger/src/tokens.ts
+++ b/packages/ledger/src/tokens.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a number is an amount of tokens: a whole number from 0 up to 2^53 - 1.
- * Sums of such amounts are checked again, since a double past 2^53 silently
- * loses single tokens.
+ * Whether a number is an amount of tokens: an integer from 0 to 2^53 - 1. Sums
+ * of amounts have to be checked again, since a double above 2^53 cannot
+ * represent every integer and silently loses single tokens.
  *
  * @example
  * ```ts
--- a/packages/ledger/src/witness-book.ts
+++ b/packages/ledger/src/witness-book.ts
@@ -11,13 +11,15 @@
   type Transfer,
 } from '@wisteriadeal/schema';
 
-/** What a witness did with a change. */
+/** The result of applying a change to a witness book. */
 export enum BookChangeResult {
-  /** It stands in the book and may be acknowledged. */
+  /** The change was applied and may be acknowledged. */
   Applied = 'applied',
-  /** The grant is fenced: nothing of it is acknowledged. */
+  /** The grant is fenced: no change of it is acknowledged. */
   Fenced = 'fenced',
-  /** There is no book of the grant here. Says nothing about the grant itself. */
+  /**
+   * This witness has no book of the grant; the grant itself may still exist.
+   */
   Unknown = 'unknown',
 }
 
@@ -29,7 +31,7 @@
   readonly transfers: Map<string, Transfer>;
 }
 
-/** One grant as its witness knows it. */
+/** A read-only view of a witnessed grant. */
 export interface WitnessedGrantView {
   readonly grantId: string;
   readonly organisation: string;
@@ -39,34 +41,35 @@
 }
 
 /**
- * What a keeper knows as the witness of other keepers' grants.
+ * The replicas of other keepers' grants for which a keeper is the witness.
  *
- * The failure it meets: a holder is taken for dead, its grant is given to
- * others, and it wakes and spends. Once fenced, no change of the grant is
- * acknowledged any more, unless the log refuses to take the grant back, and a holder
- * dispatches nothing without the acknowledgement; so what this book lists when it is
- * fenced is everything that can ever be spent under the grant, whether or not
- * endpoints check fencing numbers.
+ * The book guards against a holder that is declared dead, has its grant
+ * reclaimed and given to others, and then resumes and spends its tokens. A
+ * holder dispatches nothing without an acknowledgement, and no change of a
+ * fenced grant is acknowledged unless the log refuses the reclaim. The contents
+ * of the book at the time of the fence are therefore all that can be spent
+ * under the grant, whether or not endpoints check fencing numbers.
  */
 export class WitnessBook {
   private readonly grants = new Map<string, WitnessedGrant>();
-  private readonly fenced = new Set<string>();
+  private readonly fencedGrants = new Set<string>();
 
   /**
-   * Applies a change of the holder.
+   * Applies a change sent by the holder.
    *
-   * @returns `Applied` alone may be acknowledged.
+   * @returns The result. The change may be acknowledged only if it is
+   *     `Applied`.
    * @example
    * ```ts
    * const isAcknowledged = book.apply(change) === BookChangeResult.Applied;
    * ```
    */
   apply(change: BookChange): BookChangeResult {
-    if (this.fenced.has(change.grantId)) {
+    if (this.fencedGrants.has(change.grantId)) {
       return BookChangeResult.Fenced;
     }
     if (change.kind.case === 'opened') {
-      this.grants.set(change.grantId, fromGrantBook(change.kind.value));
+      this.grants.set(change.grantId, createWitnessedGrant(change.kind.value));
       return BookChangeResult.Applied;
     }
     const grant = this.grants.get(change.grantId);
@@ -78,35 +81,37 @@
   }
 
   /**
-   * Stops acknowledging for a grant until the log has refused its reclaim; also for
-   * one not known yet.
+   * Stops acknowledging changes of a grant until the log refuses its reclaim.
+   * The grant may be one that this book does not contain yet.
    */
   fence(grantId: string): void {
-    this.fenced.add(grantId);
+    this.fencedGrants.add(grantId);
   }
 
   /**
-   * The log refused the reclaim, as another witness is in force: nothing was taken
-   * back. The book stays: it lacks only changes that were not acknowledged, and the
-   * holder may have named this witness again meanwhile.
+   * Resumes acknowledging changes after the log refused the reclaim because the
+   * grant has another witness, so no tokens were reclaimed. The book of the
+   * grant is kept: it lacks only unacknowledged changes, and the holder may
+   * have chosen this witness again in the meantime.
    */
   liftFence(grantId: string): void {
-    this.fenced.delete(grantId);
+    this.fencedGrants.delete(grantId);
   }
 
   /** Whether the grant is fenced. */
   isFenced(grantId: string): boolean {
-    return this.fenced.has(grantId);
+    return this.fencedGrants.has(grantId);
   }
 
   /**
-   * The record that takes a fenced grant back. A grant that this witness never
-   * got the book of has nothing open: nothing was ever acknowledged for it.
+   * Returns the record that reclaims a fenced grant. If this witness never
+   * received the book of the grant, it has acknowledged nothing, so the record
+   * lists nothing.
    *
-   * @returns undefined where the grant is not fenced.
+   * @returns undefined if the grant is not fenced.
    */
   reclaim(grantId: string, witness: string): Reclaim | undefined {
-    if (!this.fenced.has(grantId)) {
+    if (!this.fencedGrants.has(grantId)) {
       return undefined;
     }
     const grant = this.grants.get(grantId);
@@ -122,10 +127,11 @@
   }
 
   /**
-   * Forgets what a holder reserved for begins whose answers never reached their
-   * router. Not under a fenced grant: its reclaim has been made already.
+   * Releases the reservations made for begins whose answers did not reach the
+   * router. Reservations of fenced grants stay, since the reclaim has been
+   * created already.
    *
-   * @param beginNumbers Of begins of this router incarnation.
+   * @param beginNumbers Numbers of begins of this router incarnation.
    */
   releaseLostBegins(
     requestId: string,
@@ -137,55 +143,56 @@
       if (
         reservation?.router === router &&
         beginNumbers.includes(reservation.beginNumber) &&
-        !this.fenced.has(grantId)
+        !this.fencedGrants.has(grantId)
       ) {
         open.delete(requestId);
       }
     }
   }
 
-  /** The reservations of a grant, with router and fingerprint. */
+  /** The open reservations of a grant, with router and fingerprint. */
   openReservations(grantId: string): readonly RequestReservation[] {
     return [...(this.grants.get(grantId)?.open.values() ?? [])];
   }
 
-  /** The settled bills of a grant that the fold has not shown yet. */
+  /** The bills of a grant that have not been folded from the log yet. */
   settledBills(grantId: string): readonly Bill[] {
     return [...(this.grants.get(grantId)?.settled.values() ?? [])];
   }
 
-  /** The fold showed a bill; it needs no more memory here. */
+  /** Removes a bill that has been folded from the log. */
   billFolded(grantId: string, requestId: string): void {
     this.grants.get(grantId)?.settled.delete(requestId);
   }
 
-  /** The fold showed a transfer. */
+  /** Removes a transfer that has been folded from the log. */
   transferFolded(grantId: string, transferId: string): void {
     this.grants.get(grantId)?.transfers.delete(transferId);
   }
 
   /**
-   * The grant is closed. One that only has another witness is kept: a holder that is
-   * some records behind still sends its changes here, and one that names this witness
-   * again has sent the whole book before the log shows that it named another.
+   * Removes a closed grant. A grant that only changed its witness must be kept:
+   * a holder that lags behind the log still sends its changes here, and a
+   * holder that chooses this witness again may send the whole book before this
+   * keeper folds the change to another witness.
    */
   forget(grantId: string): void {
     this.grants.delete(grantId);
   }
 
-  /** Everything witnessed, for explanations and dumps. */
+  /** Returns all witnessed grants, for explanations and state dumps. */
   view(): readonly WitnessedGrantView[] {
     return [...this.grants].map(([grantId, grant]) => ({
       grantId,
       organisation: grant.organisation,
       holder: grant.holder,
-      fenced: this.fenced.has(grantId),
+      fenced: this.fencedGrants.has(grantId),
       open: [...grant.open.values()],
     }));
   }
 }
 
-function fromGrantBook(book: GrantBook): WitnessedGrant {
+function createWitnessedGrant(book: GrantBook): WitnessedGrant {
   return {
     organisation: book.organisation,
     holder: book.holder,
@@ -228,7 +235,8 @@
       grant.transfers.set(change.kind.value.transferId, change.kind.value);
       return;
     default:
-      // A return needs no account: see the fold's reclaim.
+      // Returns are not recorded: a folded return has reduced the grant, and a
+      // later one is refused after a reclaim.
       return;
   }
 }
