--- a/packages/ledger/src/grant-policy.ts
+++ b/packages/ledger/src/grant-policy.ts
@@ -1,139 +1,182 @@
 import {BudgetPreference} from '@wisteriadeal/schema';
 
-/** What a holder knows when it decides on its grants for an organisation. */
-export interface GrantSituation {
-  /** Tokens that this holder can reserve now, in all its grants. */
+/** Input of a decision of one holder about its grants for an organisation. */
+export interface GrantPolicyInput {
+  /** Tokens that this holder can reserve now, summed over its grants. */
   readonly spendableTokens: number;
-  /** What it can reserve in one piece, since a bill names one grant. */
+  /**
+   * Largest amount that this holder can reserve for one request: the maximum
+   * over its grants, since a reservation and its bill use a single grant.
+   */
   readonly largestSpendableTokens: number;
-  /** Tokens asked for on the log and not yet given. */
+  /** Tokens of grant requests appended to the log and not yet decided. */
   readonly requestedTokens: number;
   readonly creditedTokens: number;
   readonly unallocatedTokens: number;
-  /** Credited less billed: what all holders and the rest have together. */
+  /** Credited minus billed tokens: all grants plus the unallocated budget. */
   readonly remainingTokens: number;
-  /** This holder's demand. */
+  /** Demand at this holder. */
   readonly demandTokensPerSecond: number;
-  /** Demand of all holders together, from the bills on the log. */
+  /** Demand at all holders, derived from the bills on the log. */
   readonly totalDemandTokensPerSecond: number;
-  /** The largest bound asked for lately, or one that waits now. */
+  /** Largest bound of a recent or waiting request, in tokens. */
   readonly largestBoundTokens: number;
-  /** Bound of a request that waits for tokens; 0 where none does. */
+  /** Bound of a request that waits for tokens; 0 if none waits. */
   readonly waitingBoundTokens: number;
-  /** Of all holders this one has most; it keeps the end of the budget. */
+  /**
+   * Whether this holder has the most tokens of all. It keeps the remaining
+   * tokens when the budget is nearly spent.
+   */
   readonly holdsMost: boolean;
-  /** Holders that may serve the organisation: its live data centres. */
+  /**
+   * Number of holders that can serve the organisation: one for each live data
+   * centre.
+   */
   readonly holders: number;
-  /** How long the holder wants to be able to go on without the platform. */
+  /**
+   * Length of a partition from the platform that the grants should cover, in
+   * seconds.
+   */
   readonly partitionSeconds: number;
   readonly preference: BudgetPreference;
-  /** Another host can witness, and take back what this one holds if it is lost. */
+  /**
+   * Whether another host is available as a witness, which reclaims the grants
+   * of this one if it is lost.
+   */
   readonly hasWitness: boolean;
 }
 
-/** What to do now. All amounts are whole tokens; 0 means nothing. */
+/**
+ * A decision about the grants of a holder. Amounts are whole tokens; 0 means no
+ * action.
+ */
 export interface GrantDecision {
+  /** Size of the grant to request. */
   readonly askTokens: number;
-  /** Less than this is not worth a grant. */
+  /**
+   * Smallest grant to accept; the fold refuses the request if fewer tokens are
+   * left.
+   */
   readonly minimumTokens: number;
+  /** Tokens to return to the unallocated budget. */
   readonly returnTokens: number;
 }
 
-const NOTHING: GrantDecision = {
+const NO_CHANGE: GrantDecision = {
   askTokens: 0,
   minimumTokens: 0,
   returnTokens: 0,
 };
 
 /**
- * Decides how large a holder's grant is. False refusals come from tokens that
- * stand in the wrong place; a policy decides where they stand.
+ * Decides the size of a holder's grants. A request is falsely refused if the
+ * budget covers it but other holders have the tokens, so the distribution of
+ * tokens over holders determines the number of false refusals.
  */
 export abstract class GrantPolicy {
   /**
    * @example
    * ```ts
-   * const {askTokens} = policy.decide(situation);
+   * const {askTokens} = policy.decide(input);
    * ```
    */
-  abstract decide(situation: GrantSituation): GrantDecision;
+  abstract decide(input: GrantPolicyInput): GrantDecision;
 }
 
-/** The baseline: each holder takes an equal share of the budget, once. */
+/** Baseline policy: each holder requests an equal share of the budget once. */
 export class EqualSplitPolicy extends GrantPolicy {
-  override decide(situation: GrantSituation): GrantDecision {
-    if (situation.spendableTokens + situation.requestedTokens > 0) {
-      return NOTHING;
+  override decide(input: GrantPolicyInput): GrantDecision {
+    if (input.spendableTokens + input.requestedTokens > 0) {
+      return NO_CHANGE;
     }
-    const share = Math.floor(situation.creditedTokens / situation.holders);
-    const askTokens = Math.min(share, situation.unallocatedTokens);
+    const share = Math.floor(input.creditedTokens / input.holders);
+    const askTokens = Math.min(share, input.unallocatedTokens);
     return {askTokens, minimumTokens: 1, returnTokens: 0};
   }
 }
 
-/** Demand that was measured may double in a partition before any is refused. */
-const HEADROOM = 2;
-/** Fewer refusals: nearly everything stands where it is likely to be needed. */
-const REFUSAL_AVERSE_SHARE = 0.95;
-/** Clear books: a quarter stays unallocated, which no lost host can strand. */
-const CLARITY_SHARE = 0.75;
-/** A holder without demand keeps so many of the largest bounds in reserve. */
-const IDLE_BOUNDS = 4;
 /**
- * This part of the share ignores demand: a data centre with few requests so far
- * has shown too little to be judged by, and its demand can only rise.
+ * Demand may grow to this multiple of the measured rate in a partition without
+ * refusals.
+ */
+const PARTITION_DEMAND_FACTOR = 2;
+/**
+ * Fraction of its share that a holder targets if it prefers to avoid refusals:
+ * nearly all tokens are placed where they will probably be used.
+ */
+const AVOID_REFUSALS_TARGET_FRACTION = 0.95;
+/**
+ * Fraction of its share that a holder targets if it prefers to avoid unclear
+ * bills: a quarter stays unallocated, where the loss of a host cannot strand
+ * it.
+ */
+const AVOID_UNCLEAR_BILLS_TARGET_FRACTION = 0.75;
+/** Reserve of a holder without demand, as a multiple of the largest bound. */
+const IDLE_RESERVE_BOUNDS = 4;
+/**
+ * Weight of the equal share against the share by demand. The few requests of a
+ * quiet data centre are too small a sample to predict its demand, which can
+ * only increase.
  */
-const EQUAL_PART = 0.1;
-/** Refill at this share of the target, so that the grant arrives in time. */
-const REFILL_SHARE = 0.9;
-/** Give back beyond this multiple of the target, so that tokens don't swing. */
-const RETURN_MULTIPLE = 1.2;
-/** Where fewer bounds than this remain for each holder, slices collapse. */
-const COLLAPSE_BOUNDS = 4;
+const EQUAL_SHARE_WEIGHT = 0.1;
+/**
+ * A refill is requested below this fraction of the target, so that it arrives
+ * in time.
+ */
+const REFILL_THRESHOLD_FRACTION = 0.9;
+/**
+ * Tokens are returned above this multiple of the target; the gap avoids
+ * oscillation.
+ */
+const RETURN_THRESHOLD_FACTOR = 1.2;
+/** Grants are consolidated if fewer bounds than this remain for each holder. */
+const CONSOLIDATION_THRESHOLD_BOUNDS = 4;
 
 /**
- * The chosen policy: a holder keeps what it is expected to need through a
- * partition, but no more than its share of what remains, by demand. Near the end
- * of the budget the slices collapse into the one of the holder that has most;
- * the others ask it, or the log, for one request's bound at a time.
+ * Sizes grants by demand; the policy in use. A holder keeps the tokens that it
+ * is expected to need during a partition, limited to its share of the remaining
+ * budget. When the budget is nearly spent, the tokens are consolidated at the
+ * holder that has the most; the others request the bound of one request at a
+ * time from it or from the log.
  */
 export class DemandGrantPolicy extends GrantPolicy {
-  override decide(situation: GrantSituation): GrantDecision {
-    const {waitingBoundTokens, largestSpendableTokens} = situation;
+  override decide(input: GrantPolicyInput): GrantDecision {
+    const {waitingBoundTokens, largestSpendableTokens} = input;
     if (waitingBoundTokens > largestSpendableTokens) {
-      return this.decideForWaiting(situation);
+      return this.decideForWaitingRequest(input);
     }
     if (waitingBoundTokens > 0) {
-      // It is about to reserve; giving its tokens back now would ask for them
-      // again at once, for ever.
-      return NOTHING;
+      // The request is about to reserve its bound. Returning the tokens now
+      // would lead to an endless loop of returns and new grant requests.
+      return NO_CHANGE;
     }
-    return this.isNearEnd(situation)
-      ? this.decideNearEnd(situation)
-      : this.decideByDemand(situation);
+    return this.isBudgetNearlySpent(input)
+      ? this.decideConsolidation(input)
+      : this.decideByDemand(input);
   }
 
-  private isNearEnd(situation: GrantSituation): boolean {
-    const bound = Math.max(1, situation.largestBoundTokens);
+  private isBudgetNearlySpent(input: GrantPolicyInput): boolean {
+    const bound = Math.max(1, input.largestBoundTokens);
     return (
-      situation.remainingTokens < COLLAPSE_BOUNDS * bound * situation.holders
+      input.remainingTokens <
+      CONSOLIDATION_THRESHOLD_BOUNDS * bound * input.holders
     );
   }
 
   /**
-   * Load: a request waits and no single grant covers it. Harm: refusing it
-   * though the pieces together would do. The pieces go back, and one grant of
-   * the whole bound is asked for.
+   * Serves a request whose bound no single grant covers, although all grants
+   * together might. Instead of refusing it, returns the spendable tokens of all
+   * grants, then requests one grant that covers the bound.
    */
-  private decideForWaiting(situation: GrantSituation): GrantDecision {
-    const {waitingBoundTokens, unallocatedTokens, spendableTokens} = situation;
-    if (situation.requestedTokens > 0) {
-      return NOTHING;
+  private decideForWaitingRequest(input: GrantPolicyInput): GrantDecision {
+    const {waitingBoundTokens, unallocatedTokens, spendableTokens} = input;
+    if (input.requestedTokens > 0) {
+      return NO_CHANGE;
     }
     if (unallocatedTokens >= waitingBoundTokens) {
-      const target = this.isNearEnd(situation)
+      const target = this.isBudgetNearlySpent(input)
         ? waitingBoundTokens
-        : this.targetTokens(situation);
+        : this.targetTokens(input);
       return {
         askTokens: Math.max(
           waitingBoundTokens,
@@ -144,86 +187,101 @@
       };
     }
     return unallocatedTokens + spendableTokens >= waitingBoundTokens
-      ? {...NOTHING, returnTokens: spendableTokens}
-      : NOTHING;
+      ? {...NO_CHANGE, returnTokens: spendableTokens}
+      : NO_CHANGE;
   }
 
   /**
-   * Load: the last few per cent of a budget, shared by all holders. Harm: a
-   * remainder shredded into slices that are each too small for one request.
+   * Consolidates the last few per cent of a budget at one holder. Spread over
+   * all holders, each grant could be too small for a single request.
    */
-  private decideNearEnd(situation: GrantSituation): GrantDecision {
-    const {unallocatedTokens, spendableTokens} = situation;
-    if (!situation.holdsMost) {
-      return {...NOTHING, returnTokens: spendableTokens};
+  private decideConsolidation(input: GrantPolicyInput): GrantDecision {
+    const {unallocatedTokens, spendableTokens} = input;
+    if (!input.holdsMost) {
+      return {...NO_CHANGE, returnTokens: spendableTokens};
     }
-    return unallocatedTokens > 0 && situation.requestedTokens === 0
+    return unallocatedTokens > 0 && input.requestedTokens === 0
       ? {askTokens: unallocatedTokens, minimumTokens: 1, returnTokens: 0}
-      : NOTHING;
+      : NO_CHANGE;
   }
 
-  private decideByDemand(situation: GrantSituation): GrantDecision {
-    const target = this.targetTokens(situation);
-    const held = situation.spendableTokens + situation.requestedTokens;
-    if (held < REFILL_SHARE * target && situation.unallocatedTokens > 0) {
+  private decideByDemand(input: GrantPolicyInput): GrantDecision {
+    const target = this.targetTokens(input);
+    const heldTokens = input.spendableTokens + input.requestedTokens;
+    if (
+      heldTokens < REFILL_THRESHOLD_FRACTION * target &&
+      input.unallocatedTokens > 0
+    ) {
       return {
-        askTokens: Math.min(target - held, situation.unallocatedTokens),
+        askTokens: Math.min(target - heldTokens, input.unallocatedTokens),
         minimumTokens: 1,
         returnTokens: 0,
       };
     }
-    // What is held without a witness may be all that there is through a partition.
-    const excess = situation.hasWitness
-      ? situation.spendableTokens - target
-      : 0;
-    return excess > (RETURN_MULTIPLE - 1) * target
-      ? {...NOTHING, returnTokens: excess}
-      : NOTHING;
+    // Without a witness, the host may be cut off and get no more tokens until
+    // the partition ends, so it keeps all that it has.
+    const excessTokens = input.hasWitness ? input.spendableTokens - target : 0;
+    return excessTokens > (RETURN_THRESHOLD_FACTOR - 1) * target
+      ? {...NO_CHANGE, returnTokens: excessTokens}
+      : NO_CHANGE;
   }
 
   /**
-   * Load: no other host can be reached. Harm of a large grant: it is stranded with this
-   * host until an operator releases it, and every other host refuses meanwhile.
+   * Returns the target for this holder's tokens. Without a witness the target
+   * is small: if the host fails, its grant is stranded until an operator
+   * releases it, and all other hosts refuse requests in the meantime.
    */
-  private targetTokens(situation: GrantSituation): number {
-    const idle = IDLE_BOUNDS * Math.max(1, situation.largestBoundTokens);
-    const share = this.shareOfRemaining(situation, idle);
-    return situation.hasWitness
-      ? this.witnessedTarget(situation, idle, share)
-      : Math.floor(Math.min(idle, share));
+  private targetTokens(input: GrantPolicyInput): number {
+    const idleReserveTokens =
+      IDLE_RESERVE_BOUNDS * Math.max(1, input.largestBoundTokens);
+    const share = this.shareOfRemaining(input, idleReserveTokens);
+    return input.hasWitness
+      ? this.targetTokensWithWitness(input, idleReserveTokens, share)
+      : Math.floor(Math.min(idleReserveTokens, share));
   }
 
-  private witnessedTarget(
-    situation: GrantSituation,
-    idle: number,
+  private targetTokensWithWitness(
+    input: GrantPolicyInput,
+    idleReserveTokens: number,
     share: number,
   ): number {
-    const kept =
-      situation.preference === BudgetPreference.AVOID_UNCLEAR_BILLS
-        ? CLARITY_SHARE
-        : REFUSAL_AVERSE_SHARE;
-    const cover =
-      situation.demandTokensPerSecond * situation.partitionSeconds * HEADROOM;
-    const wanted = Math.max(cover, idle, kept * share);
-    return Math.floor(Math.min(wanted, share));
+    const targetFraction =
+      input.preference === BudgetPreference.AVOID_UNCLEAR_BILLS
+        ? AVOID_UNCLEAR_BILLS_TARGET_FRACTION
+        : AVOID_REFUSALS_TARGET_FRACTION;
+    const partitionDemandTokens =
+      input.demandTokensPerSecond *
+      input.partitionSeconds *
+      PARTITION_DEMAND_FACTOR;
+    const desiredTokens = Math.max(
+      partitionDemandTokens,
+      idleReserveTokens,
+      targetFraction * share,
+    );
+    return Math.floor(Math.min(desiredTokens, share));
   }
 
   /**
-   * Load: demand that differs between data centres, with less left than all
-   * would like. Each takes by demand, and the idle ones keep a small reserve.
+   * Returns this holder's share of the remaining budget if the data centres
+   * together want more than is left. The share is mostly proportional to
+   * demand; idle holders keep a small reserve.
    */
-  private shareOfRemaining(situation: GrantSituation, idle: number): number {
-    const total = Math.max(
-      situation.totalDemandTokensPerSecond,
-      situation.demandTokensPerSecond,
+  private shareOfRemaining(
+    input: GrantPolicyInput,
+    idleReserveTokens: number,
+  ): number {
+    const totalDemand = Math.max(
+      input.totalDemandTokensPerSecond,
+      input.demandTokensPerSecond,
     );
-    const equal = situation.remainingTokens / situation.holders;
-    if (total === 0) {
-      return equal;
+    const equalShare = input.remainingTokens / input.holders;
+    if (totalDemand === 0) {
+      return equalShare;
     }
-    const byDemand =
-      (situation.remainingTokens * situation.demandTokensPerSecond) / total;
-    const smoothed = EQUAL_PART * equal + (1 - EQUAL_PART) * byDemand;
-    return Math.max(smoothed, Math.min(idle, equal));
+    const demandShare =
+      (input.remainingTokens * input.demandTokensPerSecond) / totalDemand;
+    const blendedShare =
+      EQUAL_SHARE_WEIGHT * equalShare + (1 - EQUAL_SHARE_WEIGHT) * demandShare;
+    return Math.max(blendedShare, Math.min(idleReserveTokens, equalShare));
   }
 }
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Pure folds and books of budgets, grants, bills, claims and configuration. No
- * input or output, no clocks, no randomness.
+ * Folds of the budget ledger and the configuration, and the books of holders
+ * and witnesses. Nothing here performs I/O or reads a clock or a source of
+ * randomness.
  */
 export * from './configuration-fold.js';
 export {
@@ -14,7 +15,7 @@
 export {openingEntryId} from './organisation-books.js';
 export * from './placement.js';
 export * from './policy-comparison.js';
-export {ComparedCase} from './policy-workload.js';
+export {FailureScenario} from './simulated-workload.js';
 export * from './rate-estimate.js';
 export * from './recent-identifiers.js';
 export * from './tokens.js';
--- a/packages/ledger/src/policy-comparison.ts
+++ b/packages/ledger/src/policy-comparison.ts
@@ -3,71 +3,83 @@
   EqualSplitPolicy,
   type GrantPolicy,
 } from './grant-policy.js';
-import {ComparedOrganisation, Reach} from './policy-organisation.js';
+import {Connectivity, SimulatedOrganisation} from './simulated-organisation.js';
 import {
-  COMPARED_FAILURE_SECONDS,
-  COMPARED_USERS,
-  ComparedCase,
-  drawWorkload,
-  type ComparedUser,
-  type DrawnRequest,
-} from './policy-workload.js';
+  SIMULATED_FAILURE_SECONDS,
+  SIMULATED_FLEETS,
+  FailureScenario,
+  generateWorkload,
+  type SimulatedFleet,
+  type SimulatedRequest,
+} from './simulated-workload.js';
 
-/** The policies that are compared. */
-export enum ComparedPolicy {
-  /** An equal static share for each host. */
+/** The compared policies. */
+export enum GrantPolicyName {
+  /** `EqualSplitPolicy`, with one holder for each host. */
   EqualSplit = 'equal-split',
-  /** The chosen one: by demand, for each data centre. */
+  /**
+   * `DemandGrantPolicy`, the policy in use, with one holder for each data
+   * centre.
+   */
   Demand = 'demand',
 }
 
-/** One point of the curve of false refusals. */
-export interface PolicyPoint {
+/** The result of one simulation: one point of the curve of false refusals. */
+export interface PolicyComparisonPoint {
   readonly user: string;
-  readonly case: ComparedCase;
-  /** Budget left when the failure begins, over what the failure demands. */
+  readonly case: FailureScenario;
+  /**
+   * Budget left at the start of the failure, divided by the demand during it.
+   */
   readonly budgetOverDemand: number;
-  readonly policy: ComparedPolicy;
+  readonly policy: GrantPolicyName;
   readonly requests: number;
-  /** Refused although the budget still covered the request. */
+  /** Requests refused although the remaining budget covered their bound. */
   readonly falseRefusals: number;
   readonly falseRefusalShare: number;
-  /** Grants and returns in the run, for each thousand requests of it. */
+  /** Appended grants and returns per thousand requests, over the whole run. */
   readonly grantAppendsPerThousandRequests: number;
   readonly overspentTokens: number;
 }
 
-/** Before the failure, so that demand is known. */
+/** Time before the failure, in which the demand estimates settle. */
 const WARM_UP_SECONDS = 1_200;
-/** From half of what the failure demands to five times as much. */
+/**
+ * Budgets from half of the demand during the failure to five times that demand.
+ */
 const BUDGETS_OVER_DEMAND: readonly number[] = [
   0.5, 0.8, 1, 1.25, 1.5, 2, 3, 5,
 ];
-/** The policy looks at each grant this often. */
-const REVIEW_SECONDS = 5;
+/** Interval at which the policy reviews the grants of each holder. */
+const REVIEW_INTERVAL_SECONDS = 5;
 const THOUSAND = 1_000;
 
-function policyOf(policy: ComparedPolicy): GrantPolicy {
-  return policy === ComparedPolicy.EqualSplit
+function createPolicy(policy: GrantPolicyName): GrantPolicy {
+  return policy === GrantPolicyName.EqualSplit
     ? new EqualSplitPolicy()
     : new DemandGrantPolicy();
 }
 
 function holderIndex(
-  request: DrawnRequest,
-  user: ComparedUser,
-  policy: ComparedPolicy,
+  request: SimulatedRequest,
+  fleet: SimulatedFleet,
+  policy: GrantPolicyName,
 ): number {
-  return policy === ComparedPolicy.EqualSplit
-    ? request.dataCenter * user.hostsPerDataCenter +
-        Math.floor(request.hostFraction * user.hostsPerDataCenter)
+  return policy === GrantPolicyName.EqualSplit
+    ? request.dataCenter * fleet.hostsPerDataCenter +
+        Math.floor(request.hostFraction * fleet.hostsPerDataCenter)
     : request.dataCenter;
 }
 
-/** What each organisation uses before and during the failure. */
-function usage(requests: readonly DrawnRequest[], organisation: number) {
+/**
+ * Returns the tokens that an organisation uses before and during the failure.
+ */
+function usedTokens(
+  requests: readonly SimulatedRequest[],
+  organisation: number,
+) {
   const own = requests.filter(request => request.organisation === organisation);
-  const sum = (part: readonly DrawnRequest[]) =>
+  const sum = (part: readonly SimulatedRequest[]) =>
     part.reduce((total, request) => total + request.usedTokens, 0);
   return {
     before: sum(own.filter(request => request.second < WARM_UP_SECONDS)),
@@ -75,39 +87,52 @@
   };
 }
 
-function reachAt(second: number, compared: ComparedCase): Reach {
+function connectivityAt(
+  second: number,
+  scenario: FailureScenario,
+): Connectivity {
   if (second < WARM_UP_SECONDS) {
-    return Reach.Platform;
+    return Connectivity.Platform;
   }
-  return compared === ComparedCase.Partition ? Reach.Nothing : Reach.Peers;
+  return scenario === FailureScenario.Partition
+    ? Connectivity.None
+    : Connectivity.Peers;
 }
 
 function measurePoint(
-  user: ComparedUser,
-  compared: ComparedCase,
+  fleet: SimulatedFleet,
+  scenario: FailureScenario,
   budgetOverDemand: number,
-  policy: ComparedPolicy,
-  requests: readonly DrawnRequest[],
-): PolicyPoint {
+  policy: GrantPolicyName,
+  requests: readonly SimulatedRequest[],
+): PolicyComparisonPoint {
   const holders =
-    policy === ComparedPolicy.EqualSplit
-      ? user.dataCenters * user.hostsPerDataCenter
-      : user.dataCenters;
+    policy === GrantPolicyName.EqualSplit
+      ? fleet.dataCenters * fleet.hostsPerDataCenter
+      : fleet.dataCenters;
   const organisations = Array.from(
-    {length: user.organisations},
+    {length: fleet.organisations},
     (_, organisation) => {
-      const {before, during} = usage(requests, organisation);
+      const {before, during} = usedTokens(requests, organisation);
       const budget = Math.ceil(before + budgetOverDemand * during);
-      return new ComparedOrganisation(user, policyOf(policy), budget, holders);
+      return new SimulatedOrganisation(
+        fleet,
+        createPolicy(policy),
+        budget,
+        holders,
+      );
     },
   );
   let falseRefusals = 0;
-  let counted = 0;
-  let reviewedAt = -REVIEW_SECONDS;
+  let requestsDuringFailure = 0;
+  let lastReviewSecond = -REVIEW_INTERVAL_SECONDS;
   for (const request of requests) {
     const {second} = request;
-    if (second < WARM_UP_SECONDS && second >= reviewedAt + REVIEW_SECONDS) {
-      reviewedAt = second;
+    if (
+      second < WARM_UP_SECONDS &&
+      second >= lastReviewSecond + REVIEW_INTERVAL_SECONDS
+    ) {
+      lastReviewSecond = second;
       organisations.forEach(organisation => {
         organisation.holders.forEach(holder => {
           organisation.review(holder, second, 0);
@@ -115,15 +140,15 @@
       });
     }
     const organisation = organisations[request.organisation];
-    const holder = organisation?.holders[holderIndex(request, user, policy)];
+    const holder = organisation?.holders[holderIndex(request, fleet, policy)];
     if (organisation === undefined || holder === undefined) {
       continue;
     }
-    const reach = reachAt(second, compared);
-    const served = organisation.serve(holder, request, second, reach);
-    if (reach !== Reach.Platform) {
-      counted += 1;
-      if (!served && organisation.remaining >= request.boundTokens) {
+    const connectivity = connectivityAt(second, scenario);
+    const served = organisation.serve(holder, request, second, connectivity);
+    if (connectivity !== Connectivity.Platform) {
+      requestsDuringFailure += 1;
+      if (!served && organisation.remainingTokens >= request.boundTokens) {
         falseRefusals += 1;
       }
     }
@@ -133,27 +158,29 @@
     0,
   );
   return {
-    user: user.name,
-    case: compared,
+    user: fleet.name,
+    case: scenario,
     budgetOverDemand,
     policy,
-    requests: counted,
+    requests: requestsDuringFailure,
     falseRefusals,
-    falseRefusalShare: falseRefusals / counted,
+    falseRefusalShare: falseRefusals / requestsDuringFailure,
     grantAppendsPerThousandRequests:
       (THOUSAND * grantAppends) / requests.length,
     overspentTokens: organisations.reduce(
-      (sum, organisation) => sum + Math.max(0, -organisation.remaining),
+      (sum, organisation) => sum + Math.max(0, -organisation.remainingTokens),
       0,
     ),
   };
 }
 
 /**
- * Compares the grant policies under the same workloads, for both users: false
- * refusals in an hour's failure against the budget left when it begins.
+ * Compares the grant policies under the same seeded workloads for all simulated
+ * fleets: the false refusals during a failure of one hour, for each budget left
+ * at its start.
  *
- * @param budgetsOverDemand Budget left, over what the failure demands.
+ * @param budgetsOverDemand Budgets left at the start of the failure, each
+ *     divided by the demand during it.
  * @example
  * ```ts
  * for (const point of compareGrantPolicies(1)) console.log(point);
@@ -162,18 +189,18 @@
 export function compareGrantPolicies(
   seed: number,
   budgetsOverDemand = BUDGETS_OVER_DEMAND,
-): readonly PolicyPoint[] {
-  return COMPARED_USERS.flatMap(user => {
-    const requests = drawWorkload(
-      user,
-      WARM_UP_SECONDS + COMPARED_FAILURE_SECONDS,
+): readonly PolicyComparisonPoint[] {
+  return SIMULATED_FLEETS.flatMap(fleet => {
+    const requests = generateWorkload(
+      fleet,
+      WARM_UP_SECONDS + SIMULATED_FAILURE_SECONDS,
       WARM_UP_SECONDS,
       seed,
     );
-    return Object.values(ComparedCase).flatMap(compared =>
+    return Object.values(FailureScenario).flatMap(scenario =>
       budgetsOverDemand.flatMap(budgetOverDemand =>
-        Object.values(ComparedPolicy).map(policy =>
-          measurePoint(user, compared, budgetOverDemand, policy, requests),
+        Object.values(GrantPolicyName).map(policy =>
+          measurePoint(fleet, scenario, budgetOverDemand, policy, requests),
         ),
       ),
     );
--- a/packages/ledger/src/rate-estimate.ts
+++ b/packages/ledger/src/rate-estimate.ts
@@ -1,8 +1,9 @@
 const MILLISECONDS_PER_SECOND = 1_000;
-const YOUNGEST_AGE = 10_000;
+const MINIMUM_AGE_MILLISECONDS = 10_000;
 
 /**
- * An exponentially decaying rate: demand of the last few half-lives counts.
+ * Estimates a rate with exponential decay, so that mainly the amounts of the
+ * last few half-lives count.
  *
  * @example
  * ```ts
@@ -12,37 +13,50 @@
  * ```
  */
 export class RateEstimate {
-  private weighted = 0;
-  private startedAt: number | undefined;
-  private updatedAt: number | undefined;
+  private weightedAmount = 0;
+  private startedAtMilliseconds: number | undefined;
+  private updatedAtMilliseconds: number | undefined;
 
-  /** @param halfLifeMilliseconds After this long, an amount counts half. */
+  /**
+   * @param halfLifeMilliseconds Time after which the weight of an amount
+   *     halves.
+   */
   constructor(private readonly halfLifeMilliseconds: number) {}
 
-  /** Adds an amount at a time of the caller's monotonic clock. */
+  /** Adds an amount at the given time of a monotonic clock. */
   add(amount: number, nowMilliseconds: number): void {
     this.decay(nowMilliseconds);
-    this.weighted += amount;
+    this.weightedAmount += amount;
   }
 
-  /** The rate a second. */
+  /** Returns the estimated rate per second. */
   perSecond(nowMilliseconds: number): number {
     this.decay(nowMilliseconds);
-    const age = nowMilliseconds - (this.startedAt ?? nowMilliseconds);
-    // A young estimate has only seen part of the span that it stands for; a few
-    // seconds of it would give any rate at all.
-    const seen =
-      1 - 0.5 ** (Math.max(age, YOUNGEST_AGE) / this.halfLifeMilliseconds);
-    const mean = (this.halfLifeMilliseconds / Math.LN2) * seen;
-    return (this.weighted * MILLISECONDS_PER_SECOND) / mean;
+    const ageMilliseconds =
+      nowMilliseconds - (this.startedAtMilliseconds ?? nowMilliseconds);
+    // A recently started estimate covers only part of its window. The minimum
+    // age prevents arbitrary rates from the amounts of a few seconds.
+    const observedFraction =
+      1 -
+      0.5 **
+        (Math.max(ageMilliseconds, MINIMUM_AGE_MILLISECONDS) /
+          this.halfLifeMilliseconds);
+    const windowMilliseconds =
+      (this.halfLifeMilliseconds / Math.LN2) * observedFraction;
+    return (this.weightedAmount * MILLISECONDS_PER_SECOND) / windowMilliseconds;
   }
 
   private decay(nowMilliseconds: number): void {
-    this.startedAt ??= nowMilliseconds;
-    const elapsed = nowMilliseconds - (this.updatedAt ?? nowMilliseconds);
-    if (elapsed > 0) {
-      this.weighted *= 0.5 ** (elapsed / this.halfLifeMilliseconds);
+    this.startedAtMilliseconds ??= nowMilliseconds;
+    const elapsedMilliseconds =
+      nowMilliseconds - (this.updatedAtMilliseconds ?? nowMilliseconds);
+    if (elapsedMilliseconds > 0) {
+      this.weightedAmount *=
+        0.5 ** (elapsedMilliseconds / this.halfLifeMilliseconds);
     }
-    this.updatedAt = Math.max(nowMilliseconds, this.updatedAt ?? 0);
+    this.updatedAtMilliseconds = Math.max(
+      nowMilliseconds,
+      this.updatedAtMilliseconds ?? 0,
+    );
   }
 }
--- a/packages/ledger/src/test/grant-policy_test.ts
+++ b/packages/ledger/src/test/grant-policy_test.ts
@@ -1,10 +1,10 @@
 import {BudgetPreference} from '@wisteriadeal/schema';
 import {describe, expect, it} from 'vitest';
 
-import {DemandGrantPolicy, type GrantSituation} from '../grant-policy.js';
-import {compareGrantPolicies, ComparedPolicy} from '../policy-comparison.js';
+import {DemandGrantPolicy, type GrantPolicyInput} from '../grant-policy.js';
+import {compareGrantPolicies, GrantPolicyName} from '../policy-comparison.js';
 
-const SITUATION: GrantSituation = {
+const INPUT: GrantPolicyInput = {
   spendableTokens: 0,
   largestSpendableTokens: 0,
   requestedTokens: 0,
@@ -25,14 +25,14 @@
 describe('DemandGrantPolicy', () => {
   const policy = new DemandGrantPolicy();
 
-  it('asks by demand where the budget is short', () => {
+  it('requests more tokens for higher demand if the budget is short', () => {
     const busy = policy.decide({
-      ...SITUATION,
+      ...INPUT,
       demandTokensPerSecond: 90,
       totalDemandTokensPerSecond: 100,
     });
     const quiet = policy.decide({
-      ...SITUATION,
+      ...INPUT,
       demandTokensPerSecond: 10,
       totalDemandTokensPerSecond: 100,
     });
@@ -40,15 +40,15 @@
     expect(busy.askTokens + quiet.askTokens).toBeLessThanOrEqual(100_000);
   });
 
-  it('asks for a few bounds while no other host can witness', () => {
-    // Guards against a budget that is stranded with one host.
-    const alone = {...SITUATION, hasWitness: false, holders: 1};
+  it('requests only the idle reserve while no witness is available', () => {
+    // Guards against a budget that is stranded on one host.
+    const alone = {...INPUT, hasWitness: false, holders: 1};
     expect(policy.decide(alone).askTokens).toBe(4 * 100);
   });
 
-  it('keeps what it holds while no other host can witness', () => {
-    // Guards against refusals after a moment in which no peer was heard.
-    const alone = {...SITUATION, hasWitness: false, holders: 1};
+  it('returns no tokens while no witness is available', () => {
+    // Guards against refusals after a short time without contact to a peer.
+    const alone = {...INPUT, hasWitness: false, holders: 1};
     const held = {spendableTokens: 95_000, largestSpendableTokens: 95_000};
     const unallocatedTokens = 5_000;
     expect(
@@ -56,9 +56,9 @@
     ).toBe(0);
   });
 
-  it('gives pieces back so that a waiting request gets one whole grant', () => {
+  it('returns the tokens of several grants so that a waiting request gets one grant', () => {
     const pieces = {
-      ...SITUATION,
+      ...INPUT,
       waitingBoundTokens: 100,
       unallocatedTokens: 30,
       spendableTokens: 80,
@@ -69,9 +69,9 @@
     expect(policy.decide(whole)).toMatchObject({minimumTokens: 100});
   });
 
-  it('collapses the last tokens into the holder that has most', () => {
+  it('consolidates the last tokens at the holder with the most tokens', () => {
     const end = {
-      ...SITUATION,
+      ...INPUT,
       remainingTokens: 500,
       unallocatedTokens: 100,
       spendableTokens: 200,
@@ -83,15 +83,15 @@
 });
 
 describe('compareGrantPolicies', () => {
-  it('refuses at least five times fewer at twice the demand', () => {
+  it('causes at least five times fewer false refusals at a budget of twice the demand', () => {
     const points = compareGrantPolicies(1, [2]);
-    const refusals = (policy: ComparedPolicy) =>
+    const refusals = (policy: GrantPolicyName) =>
       points
         .filter(point => point.policy === policy)
         .reduce((sum, point) => sum + point.falseRefusals, 0);
-    expect(refusals(ComparedPolicy.EqualSplit)).toBeGreaterThan(0);
-    expect(5 * refusals(ComparedPolicy.Demand)).toBeLessThanOrEqual(
-      refusals(ComparedPolicy.EqualSplit),
+    expect(refusals(GrantPolicyName.EqualSplit)).toBeGreaterThan(0);
+    expect(5 * refusals(GrantPolicyName.Demand)).toBeLessThanOrEqual(
+      refusals(GrantPolicyName.EqualSplit),
     );
     expect(points.every(point => point.overspentTokens === 0)).toBe(true);
   });
