--- a/packages/runtime/src/binary.ts
+++ b/packages/runtime/src/binary.ts
@@ -7,48 +7,59 @@
   type SettingsProblem,
 } from './settings-file.js';
 import {settingsCheckOf} from './settings-rules.js';
-import {SETTINGS_POLL_MILLISECONDS, SettingsWatch} from './settings-watch.js';
+import {
+  SETTINGS_POLL_INTERVAL_MILLISECONDS,
+  SettingsWatch,
+} from './settings-watch.js';
 import {StopSignal} from './stop-signal.js';
 
-/** A started process that can be stopped in good order. */
+/** A started process that can be shut down gracefully. */
 export interface RunningBinary<Settings = unknown> {
   /**
-   * Finishes what runs, returns what it holds, and leaves.
+   * Completes the work in progress, returns the grants that the process holds, and
+   * closes its connections.
    *
-   * @param toldAgo How long ago the process was told to, milliseconds.
+   * @param millisecondsSinceStop Time since the stop signal was received,
+   *     milliseconds.
+   */
+  close(millisecondsSinceStop: number): Promise<void>;
+  /**
+   * Applies reloaded settings. Absent if the process keeps the settings that it was
+   * started with.
    */
-  close(toldAgo: number): Promise<void>;
-  /** Takes settings that were read again. Absent where a process keeps its own. */
   reload?(settings: Settings): void;
 }
 
-/** How a binary finds its settings. */
+/** Options of `runBinary`. */
 export interface BinaryOptions {
-  /** Environment variable that names the file where `--settings` doesn't. */
+  /** Environment variable with the settings path; used without `--settings`. */
   readonly settingsVariable?: string;
-  /** Listens to the process already; one of its own where absent. */
+  /**
+   * A stop signal that is already registered with the process. `runBinary` creates
+   * one if absent.
+   */
   readonly stopSignal?: StopSignal;
 }
 
-/** A process that is told to stop while it starts may start for so long. */
-const STOPPED_START_MILLISECONDS = 4_000;
+/** How long a start may continue after a stop signal before it is abandoned. */
+const START_LIMIT_AFTER_STOP_MILLISECONDS = 4_000;
 
-/** Exit codes; from 64 on those of sysexits. */
+/** Exit codes; those from 64 on follow sysexits.h. */
 export enum ExitCode {
   Success = 0,
-  /** Something that has no code of its own. */
+  /** A failure without a code of its own. */
   Failure = 1,
-  /** Another publication came first. */
+  /** Another publication was accepted first. */
   Overtaken = 10,
-  /** No process and no record knows of what was asked for. */
+  /** No process and no record contains the requested item. */
   NotFound = 11,
   /** Wrong arguments. */
   Usage = 64,
-  /** What was handed in is not valid. */
+  /** The input is not valid. */
   InvalidInput = 65,
-  /** The platform or a process can't be reached; nothing was done. */
+  /** The platform or a process is unreachable; the operation had no effect. */
   Unavailable = 69,
-  /** An answer was lost: it may have been done. */
+  /** The answer was lost; the operation may have taken effect. */
   Unknown = 75,
   /** The settings are not valid. */
   Configuration = 78,
@@ -67,40 +78,43 @@
 }
 
 /**
- * Stops a process in good order once it is told to, also where that was while it
- * started.
+ * Shuts a process down gracefully after a stop signal. A signal that arrives during
+ * the start takes effect once the start has completed.
  *
- * @returns The code to exit with.
+ * @returns The exit code: `Failure` if the start takes longer than 4 s after the
+ *     signal, or if closing fails.
  */
-export async function stopWhenTold(
+export async function stopOnSignal(
   signal: StopSignal,
   started: Promise<RunningBinary>,
 ): Promise<ExitCode> {
-  await signal.told;
+  await signal.received;
   try {
-    const running = await Promise.race([started, startOverdue()]);
-    await running.close(signal.age);
+    const running = await Promise.race([started, rejectAfterStartLimit()]);
+    await running.close(signal.millisecondsSinceReceived);
     return ExitCode.Success;
   } catch (error) {
-    process.stderr.write(`stop failed: ${String(error)}\n`);
+    process.stderr.write(`graceful shutdown failed: ${String(error)}\n`);
     return ExitCode.Failure;
   }
 }
 
-function startOverdue(): Promise<never> {
+function rejectAfterStartLimit(): Promise<never> {
   return new Promise((_resolve, reject) => {
     setTimeout(() => {
-      reject(new Error('the start took too long'));
-    }, STOPPED_START_MILLISECONDS).unref();
+      reject(
+        new Error('the start did not complete within 4 s of the stop signal'),
+      );
+    }, START_LIMIT_AFTER_STOP_MILLISECONDS).unref();
   });
 }
 
-/** Begins to hand changed settings to a process that has started. */
-function followSettings<Settings>(
+/** Passes changed settings to a process that has started. */
+function watchSettings<Settings>(
   watch: SettingsWatch<Settings>,
   running: RunningBinary<Settings>,
 ): void {
-  watch.begin({
+  watch.start({
     reload: settings => {
       running.reload?.(settings);
     },
@@ -108,7 +122,7 @@
   });
   setInterval(() => {
     watch.poll();
-  }, SETTINGS_POLL_MILLISECONDS).unref();
+  }, SETTINGS_POLL_INTERVAL_MILLISECONDS).unref();
 }
 
 function printProblems(problems: readonly SettingsProblem[]): void {
@@ -118,10 +132,12 @@
 }
 
 /**
- * Runs a binary: reads `--settings FILE`, starts, and on SIGTERM or SIGINT stops
- * in good order. Settings that don't fit end it with every problem printed.
+ * Runs a binary: reads the settings file named by `--settings FILE`, starts the
+ * process, reloads the settings on SIGHUP or when the file changes, and shuts down
+ * gracefully on SIGTERM or SIGINT. If the settings are not valid, prints every
+ * problem and sets the exit code `Configuration`.
  *
- * @param schema Schema of its settings.
+ * @param schema Schema of the settings.
  * @param start Starts the process.
  * @example
  * ```ts
@@ -151,11 +167,11 @@
   }
   const watch = new SettingsWatch(path, load);
   process.on('SIGHUP', () => {
-    watch.signalled();
+    watch.handleChange();
   });
   const started = start(settings.val);
-  void stopWhenTold(stopSignal, started).then(code => {
+  void stopOnSignal(stopSignal, started).then(code => {
     process.exit(code);
   });
-  followSettings(watch, await started);
+  watchSettings(watch, await started);
 }
--- a/packages/runtime/src/control-server.ts
+++ b/packages/runtime/src/control-server.ts
@@ -8,25 +8,25 @@
 import type {AddressInfo} from 'node:net';
 
 /**
- * The Connect server on which a process offers its control services to the
- * other processes, over HTTP/2.
+ * The Connect server that offers a process's control services to other processes
+ * over HTTP/2.
  */
 export class ControlServer {
   private readonly sessions = new Set<ServerHttp2Session>();
 
   private constructor(
     private readonly server: Http2Server,
-    /** `IP:port` that peers reach it by. */
+    /** `IP:port` at which peers reach the server. */
     readonly address: string,
   ) {}
 
   /**
-   * Listens and serves.
+   * Starts a server.
    *
-   * @param address IP address.
-   * @param port 0 takes a free port.
+   * @param address IP address to listen on.
+   * @param port Port to listen on; 0 selects a free port.
    * @param routes Registers the services.
-   * @throws The system's error where the address can't be taken.
+   * @throws The system error if the address can't be bound.
    * @example
    * ```ts
    * const server = await ControlServer.listen('127.0.0.1', 0, router => {
@@ -56,7 +56,7 @@
     return controlServer;
   }
 
-  /** Stops listening and ends every session; streams in progress fail. */
+  /** Stops listening and destroys every session; streams in progress fail. */
   async close(): Promise<void> {
     const closed = new Promise<void>(resolve => {
       this.server.close(() => {
--- a/packages/runtime/src/event-log.ts
+++ b/packages/runtime/src/event-log.ts
@@ -4,7 +4,7 @@
 import {LineReporter, type LineSink} from './line-reporter.js';
 import {LineWriter} from './line-writer.js';
 
-/** Fields of one event. Never a prompt, an answer or a credential. */
+/** Fields of one event. Must not contain prompts, answers or credentials. */
 export type EventFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
@@ -18,7 +18,7 @@
 };
 
 /**
- * Structured log: one JSON line an event on standard output.
+ * Structured log that writes one JSON line per event to standard output.
  */
 export class EventLog {
   private constructor(
@@ -27,10 +27,10 @@
   ) {}
 
   /**
-   * @param level What is written.
+   * @param level Least severe level that is written.
    * @param common Fields of every line, such as the process and host.
-   * @param write Takes one line with its line end; standard output where absent,
-   *     which never makes the process wait for a reader.
+   * @param write Called with each line, including its line feed. If absent, lines
+   *     are written to standard output without blocking the process.
    * @example
    * ```ts
    * const log = EventLog.create(LogLevel.INFO, {process: 'router'});
@@ -44,8 +44,8 @@
   ): EventLog {
     const sink =
       write === undefined
-        ? standardOutput()
-        : {push: write, takeDropped: () => 0, hasRoom: true};
+        ? standardOutputSink()
+        : {push: write, consumeDroppedCount: () => 0, hasRoom: true};
     const consola = createConsola({
       level: CONSOLA_LEVELS[level],
       reporters: [new LineReporter(sink, common)],
@@ -53,33 +53,33 @@
     return new EventLog(consola, common);
   }
 
-  /** A log whose lines carry more common fields. */
+  /** Returns a log that adds these fields to every line. */
   with(fields: EventFields): EventLog {
     return new EventLog(this.consola, {...this.common, ...fields});
   }
 
-  /** Something failed that an operator has to know of. */
+  /** Logs a failure that requires an operator's attention. */
   error(event: string, fields: EventFields = {}): void {
     this.consola.error(event, {...this.common, ...fields});
   }
 
-  /** Something went wrong and was handled. */
+  /** Logs a failure that the process has handled. */
   warn(event: string, fields: EventFields = {}): void {
     this.consola.warn(event, {...this.common, ...fields});
   }
 
-  /** Something happened that explains later events. */
+  /** Logs a state change that helps to interpret later events. */
   info(event: string, fields: EventFields = {}): void {
     this.consola.info(event, {...this.common, ...fields});
   }
 
-  /** Details of each request. */
+  /** Logs details of individual requests. */
   debug(event: string, fields: EventFields = {}): void {
     this.consola.debug(event, {...this.common, ...fields});
   }
 }
 
-function standardOutput(): LineSink {
+function standardOutputSink(): LineSink {
   const writer = new LineWriter();
   process.once('exit', () => {
     writer.close();
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,10 +1,10 @@
 /**
- * What every binary shares: settings, logs, metrics, the control server, the
- * state dump and an orderly stop.
+ * Code that all binaries share: settings, logs, metrics, the control server, the
+ * state dump and graceful shutdown.
  */
 export * from './binary.js';
 export * from './control-server.js';
-export * from './escaped-errors.js';
+export * from './unhandled-errors.js';
 export * from './event-log.js';
 export * from './inspection.js';
 export * from './line-budget.js';
--- a/packages/runtime/src/inspection.ts
+++ b/packages/runtime/src/inspection.ts
@@ -1,7 +1,7 @@
 import type {ConnectRouter} from '@connectrpc/connect';
 import {InspectionService} from '@wisteriadeal/schema';
 
-/** A JSON value of a dump. */
+/** A JSON value in a state dump. */
 export type JsonValue =
   | string
   | number
@@ -10,27 +10,29 @@
   | readonly JsonValue[]
   | {readonly [key: string]: JsonValue};
 
-/** What a process tells of itself on request. */
+/** The state that a process exposes to the inspection service. */
 export abstract class Inspectable {
-  /** The state, with lists cut to about `maximumItems` entries each. */
+  /** Returns the state, with each list cut to about `maximumItems` entries. */
   abstract dumpState(maximumItems: number): JsonValue;
 
-  /** What this process knows of a request; undefined where nothing. */
+  /** Describes a request; undefined if this process has no record of it. */
   abstract explainRequest(requestId: string): JsonValue | undefined;
 
-  /** What this process knows of an organisation's budget. */
+  /** Describes an organisation's budget; undefined if this process has no record of it. */
   abstract explainBudget(organisation: string): JsonValue | undefined;
 }
 
 const DEFAULT_MAXIMUM_BYTES = 262_144;
-const MOST_ITEMS = 1_024;
+const MAXIMUM_ITEMS = 1_024;
 
 /**
- * A dump is asked for when something is wrong, and then lists are long: it is
- * cut, by halving the lists, until it fits the reader's limit.
+ * Serialises the state within a size limit. Lists are long when a process is in
+ * trouble, which is when a dump is requested, so the maximum list length is halved
+ * until the dump fits. Returns `{"truncated":true}` if lists of one entry exceed the
+ * limit.
  */
 function boundedDump(source: Inspectable, maximumBytes: number): string {
-  for (let items = MOST_ITEMS; items >= 1; items = Math.floor(items / 2)) {
+  for (let items = MAXIMUM_ITEMS; items >= 1; items = Math.floor(items / 2)) {
     const text = JSON.stringify(source.dumpState(items));
     if (Buffer.byteLength(text) <= maximumBytes) {
       return text;
@@ -39,14 +41,14 @@
   return JSON.stringify({truncated: true});
 }
 
-function explanation(value: JsonValue | undefined) {
+function toExplainAnswer(value: JsonValue | undefined) {
   return value === undefined
     ? {known: false, explanationJson: ''}
     : {known: true, explanationJson: JSON.stringify(value)};
 }
 
 /**
- * Registers the inspection service of a process.
+ * Registers the inspection service for a process.
  *
  * @example
  * ```ts
@@ -69,8 +71,8 @@
       ),
     }),
     explainRequest: request =>
-      explanation(source.explainRequest(request.requestId)),
+      toExplainAnswer(source.explainRequest(request.requestId)),
     explainBudget: request =>
-      explanation(source.explainBudget(request.organisation)),
+      toExplainAnswer(source.explainBudget(request.organisation)),
   });
 }
--- a/packages/runtime/src/line-reporter.ts
+++ b/packages/runtime/src/line-reporter.ts
@@ -1,25 +1,25 @@
 import type {ConsolaReporter, LogObject} from 'consola';
 
 import type {EventFields} from './event-log.js';
-import {DEFAULT_LINE_LIMITS, LineBudget} from './line-budget.js';
+import {DEFAULT_LINE_RATE_LIMITS, LineRateLimiter} from './line-budget.js';
 
-/** Where lines go, and how many of them were lost there. */
+/** Destination of log lines, which counts the lines that it drops. */
 export interface LineSink {
-  /** Takes a line with its line end; never waits. */
+  /** Adds a line, including its line feed; never blocks. */
   push(line: string): void;
-  /** Lines that were dropped since the last call. */
-  takeDropped(): number;
-  /** Whether a few more lines would be taken. */
+  /** Returns the number of lines dropped since the last call. */
+  consumeDroppedCount(): number;
+  /** Whether there is room for a few more lines. */
   readonly hasRoom: boolean;
 }
 
-/** How often it is told that lines were left out. */
-const TELL_MILLISECONDS = 1_000;
+/** Minimum interval between reports of suppressed or dropped lines. */
+const REPORT_INTERVAL_MILLISECONDS = 1_000;
 
-/** Turns events into JSON lines, within a budget of lines for each event. */
+/** Formats events as JSON lines and limits the rate of lines per event. */
 export class LineReporter implements ConsolaReporter {
-  private readonly budget = new LineBudget(DEFAULT_LINE_LIMITS);
-  private toldAt = 0;
+  private readonly rateLimiter = new LineRateLimiter(DEFAULT_LINE_RATE_LIMITS);
+  private reportedAt = 0;
 
   constructor(
     private readonly sink: LineSink,
@@ -29,29 +29,32 @@
   log(entry: LogObject): void {
     const [event, fields] = entry.args as [string, EventFields];
     const now = entry.date.getTime();
-    if (this.budget.take(event, now)) {
+    if (this.rateLimiter.tryAcquire(event, now)) {
       this.write(entry.date, entry.type, event, fields);
     }
-    this.tellWhatIsMissing(entry.date);
+    this.reportMissingLines(entry.date);
   }
 
-  private tellWhatIsMissing(date: Date): void {
-    // A clock that was set back must not silence this for as long.
-    const isTold = Math.abs(date.getTime() - this.toldAt) < TELL_MILLISECONDS;
-    // A number that is dropped with its line is lost.
-    if (isTold || !this.sink.hasRoom) {
+  private reportMissingLines(date: Date): void {
+    // abs() keeps reports from stopping until the clock catches up after it was set
+    // back.
+    const isRecentlyReported =
+      Math.abs(date.getTime() - this.reportedAt) < REPORT_INTERVAL_MILLISECONDS;
+    // Reading a counter resets it, so the count would be lost if its line were
+    // dropped.
+    if (isRecentlyReported || !this.sink.hasRoom) {
       return;
     }
-    this.toldAt = date.getTime();
-    for (const {event, lines} of this.budget.takeWithheld()) {
-      this.write(date, 'warn', 'log lines withheld', {
+    this.reportedAt = date.getTime();
+    for (const {event, lines} of this.rateLimiter.consumeSuppressedCounts()) {
+      this.write(date, 'warn', 'log lines suppressed', {
         ...this.common,
-        of: event,
+        suppressedEvent: event,
         lines,
-        reason: 'more lines of this event than its budget',
+        reason: 'the event exceeded its rate limit for log lines',
       });
     }
-    const dropped = this.sink.takeDropped();
+    const dropped = this.sink.consumeDroppedCount();
     if (dropped > 0) {
       this.write(date, 'warn', 'log lines dropped', {
         ...this.common,
--- a/packages/runtime/src/line-writer.ts
+++ b/packages/runtime/src/line-writer.ts
@@ -1,36 +1,36 @@
 import {write, writeSync} from 'node:fs';
 
-/** What may wait for a reader; some seconds of a busy host's lines. */
-const MOST_WAITING_BYTES = 262_144;
-/** Lines are gathered so long, so that one call of the system writes many. */
-const GATHER_MILLISECONDS = 20;
-/** Room for some lines. */
-const ROOM_BYTES = 8_192;
-
-/** Writes bytes somewhere and says when it is done, as `fs.write` does. */
+/** Maximum size of the buffered lines; holds several seconds of a busy host's log. */
+const MAXIMUM_BUFFERED_BYTES = 262_144;
+/** Delay before buffered lines are written, so that one system call writes many. */
+const BATCH_DELAY_MILLISECONDS = 20;
+/** Free buffer space at which `hasRoom` is true; enough for a few lines. */
+const HEADROOM_BYTES = 8_192;
+
+/** Writes bytes and calls back with the number written, as `fs.write` does. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (error: Error | null, written: number) => void,
 ) => void;
 
-/** Writes bytes before it returns, as `fs.writeSync` does, and says how many. */
-export type WriteBytesNow = (bytes: Buffer) => number;
+/** Writes bytes synchronously, as `fs.writeSync` does; returns the number written. */
+export type WriteBytesSync = (bytes: Buffer) => number;
 
 /**
- * Writes lines without ever waiting for their reader. `process.stdout` writes to a
- * pipe synchronously: when nobody reads it, the first 64 KB fill the pipe and the
- * next line stops the process with all its requests. Here one write is under way at
- * a time, off the event loop, and what comes beyond a bound is dropped and counted.
- * Only whole lines are dropped: the rest of a line whose beginning was written is kept.
+ * Writes lines to standard output without blocking on the reader. `process.stdout`
+ * writes to pipes synchronously: if the pipe is not read, the first 64 KB fill it and
+ * the next line blocks the process with all its requests. This class runs one
+ * asynchronous write at a time and buffers up to 256 KiB; further lines are dropped and
+ * counted. Only whole lines are dropped: the rest of a partially written line is kept.
  */
 export class LineWriter {
-  private waiting: string[] = [];
-  private waitingBytes = 0;
-  /** What was taken from the waiting lines and is not written yet. */
+  private bufferedLines: string[] = [];
+  private bufferedBytes = 0;
+  /** Bytes taken from the buffered lines that are not written yet. */
   private batch: Buffer = Buffer.alloc(0);
-  private isBatchBegun = false;
-  private isUnderWay = false;
-  /** Whether the batch begins in the middle of a line. */
+  private isBatchActive = false;
+  private isWriting = false;
+  /** Whether the last write ended in the middle of a line. */
   private isMidLine = false;
   private droppedLines = 0;
   private timer: NodeJS.Timeout | undefined;
@@ -38,115 +38,119 @@
 
   constructor(
     private readonly writeBytes: WriteBytes = writeStandardOutput,
-    private readonly writeBytesNow: WriteBytesNow = writeStandardOutputNow,
+    private readonly writeBytesSync: WriteBytesSync = writeStandardOutputSync,
   ) {}
 
-  /** Lines that were dropped since the last call. */
-  takeDropped(): number {
+  /** Returns the number of lines dropped since the last call. */
+  consumeDroppedCount(): number {
     const dropped = this.droppedLines;
     this.droppedLines = 0;
     return dropped;
   }
 
-  /** Whether a few more lines would be taken. */
+  /** Whether there is room for a few more lines. */
   get hasRoom(): boolean {
-    return this.waitingBytes + ROOM_BYTES <= MOST_WAITING_BYTES;
+    return this.bufferedBytes + HEADROOM_BYTES <= MAXIMUM_BUFFERED_BYTES;
   }
 
-  /** Takes a line with its line end. */
+  /** Buffers a line, including its line feed, or drops it if the buffer is full. */
   push(line: string): void {
     const bytes = Buffer.byteLength(line);
-    if (this.waitingBytes + bytes > MOST_WAITING_BYTES) {
+    if (this.bufferedBytes + bytes > MAXIMUM_BUFFERED_BYTES) {
       this.droppedLines++;
       return;
     }
-    this.waiting.push(line);
-    this.waitingBytes += bytes;
+    this.bufferedLines.push(line);
+    this.bufferedBytes += bytes;
     this.timer ??= setTimeout(() => {
       this.flush();
-    }, GATHER_MILLISECONDS);
+    }, BATCH_DELAY_MILLISECONDS);
     this.timer.unref();
   }
 
   /**
-   * Writes what waits before the process ends. Where a write is under way nobody may
-   * be reading: what waits is left, rather than wait for a reader at the end.
+   * Writes the buffered lines synchronously before the process ends. If a write is in
+   * progress, the pipe may not be read at all: the buffered lines are left unwritten, so
+   * that the process does not block at its end.
    */
   close(): void {
     clearTimeout(this.timer);
     clearTimeout(this.retryTimer);
-    if (this.isUnderWay) {
+    if (this.isWriting) {
       return;
     }
-    const bytes = this.takeWaiting();
+    const bytes = this.drainBuffer();
     this.batch = Buffer.alloc(0);
     try {
-      this.writeNow(bytes);
+      this.writeLinesSync(bytes);
     } catch {
-      // Nobody reads; there is nowhere left to say so.
+      // The output can't be written, and there is no other place to report that.
     }
   }
 
-  /** Each line by itself, which a pipe takes whole or not at all. */
-  private writeNow(bytes: Buffer): void {
+  /** Writes line by line, as a pipe accepts a short write whole or not at all. */
+  private writeLinesSync(bytes: Buffer): void {
     let rest = bytes;
     let written = 1;
     while (rest.length > 0 && written > 0) {
-      written = this.writeBytesNow(rest.subarray(0, firstLineBytes(rest)));
+      written = this.writeBytesSync(rest.subarray(0, firstLineBytes(rest)));
       rest = rest.subarray(written);
     }
   }
 
   private flush(): void {
     this.timer = undefined;
-    if (this.isBatchBegun || this.waiting.length === 0) {
+    if (this.isBatchActive || this.bufferedLines.length === 0) {
       return;
     }
-    this.batch = this.takeWaiting();
-    this.isBatchBegun = true;
+    this.batch = this.drainBuffer();
+    this.isBatchActive = true;
     this.writeBatch();
   }
 
-  private takeWaiting(): Buffer {
+  private drainBuffer(): Buffer {
     const bytes = Buffer.concat([
       this.batch,
-      Buffer.from(this.waiting.join('')),
+      Buffer.from(this.bufferedLines.join('')),
     ]);
-    this.waiting = [];
+    this.bufferedLines = [];
     return bytes;
   }
 
   private writeBatch(): void {
-    this.isUnderWay = true;
+    this.isWriting = true;
     this.writeBytes(this.batch, (error, written) => {
-      this.isUnderWay = false;
-      this.wrote(written);
+      this.isWriting = false;
+      this.removeWritten(written);
       if (error === null && this.batch.length > 0) {
         this.writeBatch();
       } else if (isPipeFull(error)) {
         this.retryTimer = setTimeout(() => {
           this.writeBatch();
-        }, GATHER_MILLISECONDS).unref();
+        }, BATCH_DELAY_MILLISECONDS).unref();
       } else {
-        this.endBatch();
+        this.dropFailedBatch();
       }
     });
   }
 
-  private wrote(bytes: number): void {
+  private removeWritten(bytes: number): void {
     if (bytes > 0) {
       this.isMidLine = this.batch[bytes - 1] !== LINE_END;
       this.batch = this.batch.subarray(bytes);
     }
   }
 
-  /** Drops what an error left of the batch. */
-  private endBatch(): void {
+  /**
+   * Drops the unwritten lines of the batch after an error, except for the rest of a
+   * partially written line.
+   */
+  private dropFailedBatch(): void {
     const kept = this.isMidLine ? firstLineBytes(this.batch) : 0;
     this.droppedLines += countLines(this.batch.subarray(kept));
     this.batch = this.batch.subarray(0, kept);
-    this.isBatchBegun = false;
-    this.waitingBytes = this.waiting.reduce(
+    this.isBatchActive = false;
+    this.bufferedBytes = this.bufferedLines.reduce(
       (sum, line) => sum + Buffer.byteLength(line),
       this.batch.length,
     );
@@ -154,7 +158,7 @@
   }
 }
 
-/** Whether the reader has not yet read what fills the pipe. */
+/** Whether a write failed because the pipe is full. */
 function isPipeFull(error: Error | null): boolean {
   return error !== null && 'code' in error && error.code === 'EAGAIN';
 }
@@ -177,6 +181,6 @@
   write(STANDARD_OUTPUT, bytes, 0, bytes.length, null, done);
 }
 
-function writeStandardOutputNow(bytes: Buffer): number {
+function writeStandardOutputSync(bytes: Buffer): number {
   return writeSync(STANDARD_OUTPUT, bytes);
 }
--- a/packages/runtime/src/message-queue.ts
+++ b/packages/runtime/src/message-queue.ts
@@ -1,6 +1,6 @@
 /**
- * The sending side of a stream: what is pushed comes out of the iteration, in
- * order, until the queue is closed.
+ * An unbounded queue of messages for the sending side of a stream. Iterating yields
+ * the pushed messages in order until the queue is closed.
  *
  * @example
  * ```ts
@@ -14,7 +14,7 @@
   private wake: (() => void) | undefined;
   private closed = false;
 
-  /** Adds a message; after `close` it is dropped. */
+  /** Adds a message; messages pushed after `close` are dropped. */
   push(message: Message): void {
     if (!this.closed) {
       this.items.push(message);
@@ -22,12 +22,12 @@
     }
   }
 
-  /** How many messages wait. */
+  /** Number of queued messages. */
   get length(): number {
     return this.items.length;
   }
 
-  /** Ends the iteration after what was pushed. */
+  /** Ends the iteration once the queued messages have been yielded. */
   close(): void {
     this.closed = true;
     this.wake?.();
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -2,21 +2,21 @@
 import {StatsD} from 'hot-shots';
 
 /**
- * Metrics of a process. Sending them never blocks, and losing them changes
- * nothing.
+ * Metrics of a process. Sending never blocks, and lost metrics do not affect
+ * requests.
  */
 export abstract class Metrics {
-  /** Adds to a counter. */
+  /** Increments a counter. */
   abstract increment(name: string, by?: number): void;
   /** Sets a gauge. */
   abstract gauge(name: string, value: number): void;
   /** Records a duration in milliseconds. */
   abstract timing(name: string, milliseconds: number): void;
-  /** Sends what is left. */
+  /** Sends the buffered metrics and closes the socket. */
   abstract close(): Promise<void>;
 }
 
-/** Where no metrics are wanted. */
+/** Discards metrics; used when the settings name no receiver. */
 export class NoMetrics extends Metrics {
   override increment(): void {
     // Nothing is sent.
@@ -32,7 +32,7 @@
   }
 }
 
-/** StatsD datagrams over UDP. */
+/** Sends metrics as StatsD datagrams over UDP. */
 export class StatsdMetrics extends Metrics {
   private readonly client: StatsD;
 
@@ -48,7 +48,7 @@
       globalTags: {...tags},
       maxBufferSize: 1_400,
       errorHandler: () => {
-        // A lost datagram is no reason to disturb a request.
+        // Metrics are best effort: a failed datagram must not affect a request.
       },
     });
   }
@@ -75,7 +75,8 @@
 }
 
 /**
- * Metrics as the settings want them.
+ * Creates the metrics client for the settings; without settings, metrics are
+ * discarded.
  *
  * @example
  * ```ts
--- a/packages/runtime/src/schema-check.ts
+++ b/packages/runtime/src/schema-check.ts
@@ -1,6 +1,6 @@
 import {ScalarType, type DescField, type DescMessage} from '@bufbuild/protobuf';
 
-/** A value that does not fit the schema. */
+/** A value that does not match the schema. */
 export interface SchemaMismatch {
   readonly path: readonly (string | number)[];
   readonly expected: string;
@@ -109,14 +109,14 @@
       const expected = `one of the keys ${[...fields.keys()].join(', ')}`;
       return [{path: [...path, key], expected}];
     }
-    // As in protobuf's own JSON, null is an absent value.
+    // As in the protobuf JSON format, null stands for an absent value.
     return item === null ? [] : checkField(field, item, [...path, key]);
   });
 }
 
 /**
- * Compares a JSON value with a message schema and reports every mismatch, where
- * a parser would stop at the first.
+ * Compares a JSON value with a message schema and reports every mismatch; a parser
+ * would stop at the first one.
  *
  * @example
  * ```ts
--- a/packages/runtime/src/setting-reader.ts
+++ b/packages/runtime/src/setting-reader.ts
@@ -2,8 +2,8 @@
 import {readFileSync} from 'node:fs';
 
 /**
- * One setting that is a text, before the settings are checked as a whole; undefined
- * where there is none. What is wrong with the file is told by that check.
+ * Reads one string setting before the whole file is validated. Returns undefined if the
+ * file is unreadable or has no such string; the later validation reports why.
  *
  * @example
  * ```ts
@@ -21,7 +21,7 @@
   try {
     text = readFileSync(path, 'utf8');
   } catch {
-    // The check of the whole file names the reason.
+    // The validation of the whole file reports the reason.
     return undefined;
   }
   const settings: unknown = parse(text);
--- a/packages/runtime/src/settings-file.ts
+++ b/packages/runtime/src/settings-file.ts
@@ -16,18 +16,18 @@
 import {Err, Ok, type Result} from './results.js';
 import {checkAgainstSchema, type SchemaMismatch} from './schema-check.js';
 
-/** One thing wrong in a settings or configuration file. */
+/** A problem in a settings or configuration file. */
 export interface SettingsProblem {
   readonly file: string;
-  /** Counts from 1. */
+  /** Line number, from 1. */
   readonly line: number;
-  /** Path of the key, such as `platform.logUrl`; empty for the whole file. */
+  /** Path of the key, such as `platform.logUrl`; empty if it concerns the whole file. */
   readonly key: string;
   readonly expected: string;
 }
 
 /**
- * Prints a problem as one line.
+ * Formats a problem as one line.
  *
  * @example
  * ```ts
@@ -57,7 +57,7 @@
   }));
 }
 
-/** Finds what is wrong in a message that fits its schema. */
+/** Checks constraints on a message beyond its schema. */
 export type MessageCheck<Schema extends DescMessage> = (
   message: MessageShape<Schema>,
 ) => readonly SchemaMismatch[];
@@ -87,13 +87,14 @@
 }
 
 /**
- * Reads a message from JSON with comments. Unknown keys, wrong kinds of values
- * and values out of range are problems; all of them are reported at once.
+ * Parses a message from JSON with comments. Reports all unknown keys, wrong types and
+ * values out of range together.
  *
  * @param schema The generated message schema.
- * @param text The file's text.
- * @param file Name for the problems.
- * @param check Checks what a schema can't say, once the schema is met.
+ * @param text Contents of the file.
+ * @param file File name used in the problems.
+ * @param check Checks constraints that the schema can't express; called only if the
+ *     value matches the schema.
  * @example
  * ```ts
  * const result = parseSettings(RouterSettingsSchema, text, 'router.jsonc');
@@ -128,10 +129,10 @@
 }
 
 /**
- * Reads a settings file.
+ * Reads and parses a settings file. A file that can't be read is reported as a problem.
  *
  * @param path Path of the file.
- * @param check Checks what a schema can't say.
+ * @param check Checks constraints that the schema can't express.
  * @example
  * ```ts
  * const settings = loadSettings(KeeperSettingsSchema, 'keeper.jsonc');
--- a/packages/runtime/src/settings-rules.ts
+++ b/packages/runtime/src/settings-rules.ts
@@ -20,13 +20,13 @@
 type Rule<Value> = (value: Value, path: Path) => readonly SchemaMismatch[];
 
 const MAXIMUM_PORT = 65_535;
-const URL_FORM = /^https?:\/\/[^\s/]+:\d+$/;
+const URL_PATTERN = /^https?:\/\/[^\s/]+:\d+$/;
 
 function rule<Value>(
-  isRight: (value: Value) => boolean,
+  isValid: (value: Value) => boolean,
   expected: string,
 ): Rule<Value> {
-  return (value, path) => (isRight(value) ? [] : [{path, expected}]);
+  return (value, path) => (isValid(value) ? [] : [{path, expected}]);
 }
 
 function isAddress(text: string): boolean {
@@ -42,7 +42,7 @@
 const ipAddress = rule<string>(text => isIP(text) !== 0, 'an IP address');
 const address = rule<string>(isAddress, 'IP:port, such as 10.0.0.5:7101');
 const url = rule<string>(
-  text => URL_FORM.test(text),
+  text => URL_PATTERN.test(text),
   'a URL with a port and no path, such as http://10.0.0.9:7000',
 );
 const port = rule<number>(
@@ -51,9 +51,12 @@
 );
 const positive = rule<number>(value => value > 0, 'a number above 0');
 
-/** A number that has a default, so that 0 stands for the default. */
-function upTo(most: number): Rule<number> {
-  return rule(value => value <= most, `at most ${most}; 0 for the default`);
+/** Rule for a setting with a default, which 0 selects. */
+function atMost(maximum: number): Rule<number> {
+  return rule(
+    value => value <= maximum,
+    `at most ${maximum}; 0 for the default`,
+  );
 }
 
 function checkProcess(
@@ -79,8 +82,8 @@
   ];
 }
 
-/** A minute: a longer wait for the platform would only hide that it is away. */
-const MOST_PLATFORM_TIMEOUT_MILLISECONDS = 60_000;
+/** One minute; a longer timeout would only delay the detection of an outage. */
+const MAXIMUM_PLATFORM_TIMEOUT_MILLISECONDS = 60_000;
 
 function checkPlatform(
   platform: PlatformSettings | undefined,
@@ -96,10 +99,10 @@
     ...(weightStoreUrl === ''
       ? []
       : url(weightStoreUrl, [...path, 'weightStoreUrl'])),
-    ...upTo(MOST_PLATFORM_TIMEOUT_MILLISECONDS)(platform.timeoutMilliseconds, [
-      ...path,
-      'timeoutMilliseconds',
-    ]),
+    ...atMost(MAXIMUM_PLATFORM_TIMEOUT_MILLISECONDS)(
+      platform.timeoutMilliseconds,
+      [...path, 'timeoutMilliseconds'],
+    ),
   ];
 }
 
@@ -111,10 +114,10 @@
   ];
 }
 
-/** One checkpoint in so many records at most: a fresh reader folds the rest. */
-const MOST_CHECKPOINT_RECORDS = 50_000;
-/** The stream's number is part of its name; more than this is a typing error. */
-const MOST_LEDGER_STREAMS = 4_096;
+/** Limits how many records a new reader must fold after the last checkpoint. */
+const MAXIMUM_CHECKPOINT_RECORDS = 50_000;
+/** Streams are named by number; a higher count is taken for a typing error. */
+const MAXIMUM_LEDGER_STREAMS = 4_096;
 
 function checkKeeper(settings: KeeperSettings): readonly SchemaMismatch[] {
   const {heartbeatMilliseconds, heartbeatLimitMilliseconds} = settings;
@@ -124,8 +127,10 @@
   return [
     ...checkProcess(settings.process),
     ...checkPlatform(settings.platform),
-    ...upTo(MOST_LEDGER_STREAMS)(settings.ledgerStreams, ['ledgerStreams']),
-    ...upTo(MOST_CHECKPOINT_RECORDS)(settings.checkpointRecords, [
+    ...atMost(MAXIMUM_LEDGER_STREAMS)(settings.ledgerStreams, [
+      'ledgerStreams',
+    ]),
+    ...atMost(MAXIMUM_CHECKPOINT_RECORDS)(settings.checkpointRecords, [
       'checkpointRecords',
     ]),
     ...(limitTooShort
@@ -148,7 +153,7 @@
   return [
     ...checkPlatform(settings.platform),
     ...rule<number>(
-      value => value > 0 && value <= MOST_LEDGER_STREAMS,
+      value => value > 0 && value <= MAXIMUM_LEDGER_STREAMS,
       "the number in the keepers' settings",
     )(settings.ledgerStreams, ['ledgerStreams']),
     ...name(settings.operator, ['operator']),
@@ -175,7 +180,7 @@
   ];
 }
 
-/** Takes only the message that it is registered for. */
+/** Accepts only messages of the type that it is registered for. */
 type RegisteredCheck = (settings: never) => readonly SchemaMismatch[];
 
 const CHECKS = new Map<string, RegisteredCheck>([
@@ -186,11 +191,11 @@
 ]);
 
 /**
- * What a binary's settings must have beyond their schema: required keys, forms
- * and ranges. proto3 can't tell a missing key from its zero, so a missing
- * address would otherwise show up as a connection to nowhere, minutes later.
+ * Returns the check of a binary's settings beyond their schema: required keys, formats
+ * and ranges. proto3 doesn't distinguish a missing key from its zero value, so without
+ * this check a missing address would only surface minutes later as a failed connection.
  *
- * @returns A check that finds nothing for messages without such rules.
+ * @returns A check that reports no mismatches for message types without such rules.
  * @example
  * ```ts
  * loadSettings(schema, file, settingsCheckOf(schema));
--- a/packages/runtime/src/settings-watch.ts
+++ b/packages/runtime/src/settings-watch.ts
@@ -4,30 +4,31 @@
 import type {SettingsProblem} from './settings-file.js';
 
 /**
- * How often the file is compared with what was read last. The users' platform
- * changes it at times without a signal and allows 2 s until a change is in force.
+ * Interval at which the file is compared with its last contents. The users' platform
+ * sometimes changes the file without a signal and requires a change to take effect
+ * within 2 s.
  */
-export const SETTINGS_POLL_MILLISECONDS = 1_000;
+export const SETTINGS_POLL_INTERVAL_MILLISECONDS = 1_000;
 
-/** Where settings that are read again go. */
-export interface SettingsTaker<Settings> {
-  /** Takes settings that fit. */
+/** Receives reloaded settings. */
+export interface SettingsListener<Settings> {
+  /** Called with valid settings. */
   reload(settings: Settings): void;
-  /** Is told why settings don't fit; those in force stay. */
+  /** Called with the problems of invalid settings; the current ones stay in force. */
   reject(problems: readonly SettingsProblem[]): void;
 }
 
 /**
- * Reads settings again when a signal says that they have changed, or their file
- * differs. A signal that comes while the process still starts is kept until there is
- * somebody to take the settings: without a handler it would end the process.
+ * Reloads the settings on a signal or when the file has changed. A signal that arrives
+ * during the start is recorded until a listener is set: without a handler SIGHUP would
+ * end the process.
  */
 export class SettingsWatch<Settings> {
-  private taker: SettingsTaker<Settings> | undefined;
-  private isSignalled = false;
+  private listener: SettingsListener<Settings> | undefined;
+  private hasChanged = false;
   private text: string | undefined;
 
-  /** @param load Reads and checks the file. */
+  /** @param load Reads and validates the file. */
   constructor(
     private readonly path: string,
     private readonly load: () => Result<Settings, readonly SettingsProblem[]>,
@@ -35,34 +36,34 @@
     this.text = this.read();
   }
 
-  /** From now on changes go here; one that was signalled before goes at once. */
-  begin(taker: SettingsTaker<Settings>): void {
-    this.taker = taker;
-    if (this.isSignalled) {
-      this.signalled();
+  /** Sets the listener and notifies it at once of a change signalled earlier. */
+  start(listener: SettingsListener<Settings>): void {
+    this.listener = listener;
+    if (this.hasChanged) {
+      this.handleChange();
     }
   }
 
-  /** The file has changed, as a signal tells. */
-  signalled(): void {
-    this.isSignalled = true;
+  /** Reloads the file and notifies the listener, or records the change without one. */
+  handleChange(): void {
+    this.hasChanged = true;
     this.text = this.read();
-    if (this.taker === undefined) {
+    if (this.listener === undefined) {
       return;
     }
     const settings = this.load();
     if (settings.err) {
-      this.taker.reject(settings.val);
+      this.listener.reject(settings.val);
     } else {
-      this.taker.reload(settings.val);
+      this.listener.reload(settings.val);
     }
   }
 
-  /** Looks whether the file has changed without a signal. */
+  /** Reloads the file if it has changed without a signal. */
   poll(): void {
     const text = this.read();
     if (text !== undefined && text !== this.text) {
-      this.signalled();
+      this.handleChange();
     }
   }
 
@@ -70,7 +71,7 @@
     try {
       return readFileSync(this.path, 'utf8');
     } catch {
-      // While the file is replaced there may be none; the next look finds it.
+      // The file may be missing while it is being replaced; the next poll reads it.
       return undefined;
     }
   }
--- a/packages/runtime/src/stop-signal.ts
+++ b/packages/runtime/src/stop-signal.ts
@@ -1,34 +1,36 @@
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-/** Emits signals to a process, as the process itself does. */
+/** Emits stop signals, as `process` does. */
 export interface SignalSource {
-  on(signal: 'SIGTERM' | 'SIGINT', take: () => void): unknown;
+  on(signal: 'SIGTERM' | 'SIGINT', listener: () => void): unknown;
 }
 
 /**
- * Keeps that the process was told to stop until there is somebody to stop it in good
- * order. Without a handler the signal ends it at once, and callers that it has taken
- * while it starts are cut.
+ * Records a stop signal until the process can shut down gracefully. Without a handler
+ * the signal would end the process at once and cut the connections of callers that it
+ * accepted while starting.
  */
 export class StopSignal {
-  /** Resolves when the process is told to stop; further signals change nothing. */
-  readonly told: Promise<void>;
-  private toldAt: number | undefined;
+  /** Resolves on the first stop signal; later signals are ignored. */
+  readonly received: Promise<void>;
+  private receivedAt: number | undefined;
 
   constructor(source: SignalSource) {
-    this.told = new Promise(resolve => {
-      const take = () => {
-        this.toldAt ??= performance.now();
+    this.received = new Promise(resolve => {
+      const listener = () => {
+        this.receivedAt ??= performance.now();
         resolve();
       };
       for (const signal of STOP_SIGNALS) {
-        source.on(signal, take);
+        source.on(signal, listener);
       }
     });
   }
 
-  /** How long ago the process was told, milliseconds; 0 where it was not. */
-  get age(): number {
-    return this.toldAt === undefined ? 0 : performance.now() - this.toldAt;
+  /** Time since the first stop signal, milliseconds; 0 if none was received. */
+  get millisecondsSinceReceived(): number {
+    return this.receivedAt === undefined
+      ? 0
+      : performance.now() - this.receivedAt;
   }
 }
--- a/packages/runtime/src/system-clock.ts
+++ b/packages/runtime/src/system-clock.ts
@@ -1,9 +1,9 @@
 import {Clock} from '@wisteriadeal/platform';
 
-/** 24 days; a timer that is set for longer is due at once. */
-const LONGEST_TIMER_MILLISECONDS = 2 ** 31 - 1;
+/** About 24 days; Node.js fires a timer with a longer delay at once. */
+const MAXIMUM_TIMER_MILLISECONDS = 2 ** 31 - 1;
 
-/** The operating system's clocks. A sleep ends after 24 days at the latest. */
+/** The operating system's clocks. A sleep lasts at most about 24 days. */
 export class SystemClock extends Clock {
   override monotonicMilliseconds(): number {
     return performance.now();
@@ -25,7 +25,7 @@
       };
       const timer = setTimeout(
         finish,
-        Math.min(milliseconds, LONGEST_TIMER_MILLISECONDS),
+        Math.min(milliseconds, MAXIMUM_TIMER_MILLISECONDS),
       );
       signal?.addEventListener('abort', finish, {once: true});
     });
--- a/packages/runtime/src/system-random-source.ts
+++ b/packages/runtime/src/system-random-source.ts
@@ -4,7 +4,7 @@
 const IDENTIFIER_BYTES = 16;
 const FRACTION_STEPS = 2 ** 32;
 
-/** The operating system's randomness. */
+/** Cryptographic random numbers from the operating system. */
 export class SystemRandomSource extends RandomSource {
   override identifier(): string {
     return randomBytes(IDENTIFIER_BYTES).toString('hex');
--- a/packages/runtime/src/test/event-log_test.ts
+++ b/packages/runtime/src/test/event-log_test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('EventLog', () => {
-  it('writes one JSON line an event, with common and own fields', () => {
+  it('writes one JSON line per event with common and event fields', () => {
     const lines: string[] = [];
     logTo(lines)
       .with({organisation: 'a'})
@@ -28,7 +28,7 @@
     });
   });
 
-  it('keeps a line break of a field inside its line', () => {
+  it('escapes line breaks in fields', () => {
     const lines: string[] = [];
     logTo(lines).error('failed', {reason: 'one\ntwo'});
     expect(lines[0]?.split('\n')).toHaveLength(2);
@@ -39,7 +39,7 @@
     [LogLevel.WARN, ['error', 'warn']],
     [LogLevel.INFO, ['error', 'warn', 'info']],
     [LogLevel.DEBUG, ['error', 'warn', 'info', 'debug']],
-  ])('writes down to its level (%#)', (level, expected) => {
+  ])('writes the events of its level and above (%#)', (level, expected) => {
     const lines: string[] = [];
     const log = logTo(lines, level);
     log.error('e');
--- a/packages/runtime/src/test/inspection_test.ts
+++ b/packages/runtime/src/test/inspection_test.ts
@@ -13,8 +13,8 @@
   type JsonValue,
 } from '../inspection.js';
 
-/** A process with long lists, as one that is in trouble. */
-class CrowdedProcess extends Inspectable {
+/** A process whose state has long lists, as under overload. */
+class ProcessWithLongLists extends Inspectable {
   override dumpState(maximumItems: number): JsonValue {
     return {
       requests: Array.from({length: 5_000}, (_, index) => `req_${index}`).slice(
@@ -31,9 +31,9 @@
   }
 }
 
-async function inspected() {
+async function startInspectedProcess() {
   const server = await ControlServer.listen('127.0.0.1', 0, router => {
-    registerInspection(router, new CrowdedProcess());
+    registerInspection(router, new ProcessWithLongLists());
   });
   const baseUrl = `http://${server.address}`;
   const sessions = new Http2SessionManager(baseUrl);
@@ -46,8 +46,8 @@
 }
 
 describe('the inspection service', () => {
-  it('cuts lists until a dump fits the limit', async () => {
-    const {server, sessions, client} = await inspected();
+  it('shortens lists until a dump fits the size limit', async () => {
+    const {server, sessions, client} = await startInspectedProcess();
     const sizes: number[] = [];
     for (const maximumBytes of [0, 4_096, 256]) {
       const {stateJson} = await client.dump({maximumBytes});
@@ -66,8 +66,8 @@
     await server.close();
   });
 
-  it('tells what is known apart from what is not', async () => {
-    const {server, sessions, client} = await inspected();
+  it('distinguishes known from unknown requests', async () => {
+    const {server, sessions, client} = await startInspectedProcess();
     const known = await client.explainRequest({requestId: 'req_1'});
     const unknown = await client.explainRequest({requestId: 'req_2'});
     expect(JSON.parse(known.explanationJson)).toEqual({states: ['begun']});
@@ -76,11 +76,11 @@
     await server.close();
   });
 
-  // A process stops while a peer keeps its session open, as peers do for hours.
-  // An HTTP/2 server's close waits for its sessions, so without ending them the
-  // process would never leave; the platform would kill it with work in progress.
-  it('closes though a peer keeps its session open', async () => {
-    const {server, sessions, client} = await inspected();
+  // Closing an HTTP/2 server waits for its sessions, which peers keep open for hours.
+  // If the sessions were not destroyed, a stopping process would never exit, and the
+  // platform would kill it with work in progress.
+  it('closes while a peer keeps its session open', async () => {
+    const {server, sessions, client} = await startInspectedProcess();
     await client.dump({maximumBytes: 256});
     await server.close();
     await expect(client.dump({maximumBytes: 256})).rejects.toThrow();
--- a/packages/runtime/src/test/line-reporter_test.ts
+++ b/packages/runtime/src/test/line-reporter_test.ts
@@ -6,7 +6,7 @@
 
 type Done = (error: Error | null, written: number) => void;
 
-/** More than may wait for a reader. */
+/** More lines than the writer's buffer holds. */
 const FLOOD_LINES = 3_000;
 
 describe('LineReporter', () => {
@@ -31,58 +31,62 @@
     vi.useRealTimers();
   });
 
-  /** The reader takes all that waits. */
-  function read(): void {
+  /** Completes all pending writes. */
+  function drainWrites(): void {
     vi.runAllTimers();
     for (const write of writes.splice(0)) {
       write();
     }
   }
 
-  function linesOf(event: string): readonly {lines: number; of?: string}[] {
+  function linesOf(
+    event: string,
+  ): readonly {lines: number; suppressedEvent?: string}[] {
     return written
       .map(line => JSON.parse(line) as {event: string; lines: number})
       .filter(line => line.event === event);
   }
 
-  it('tells all lines that were dropped while nobody read', () => {
-    // Guards against numbers that are dropped with the lines that tell them.
+  it('reports every line dropped while the output was not read', () => {
+    // Guards against losing the counts: a report that is itself dropped must not
+    // reset its counter.
     for (let line = 0; line < FLOOD_LINES; line++) {
       log.info(`event ${line}`, {text: 'x'.repeat(100)});
       vi.advanceTimersByTime(10);
     }
-    read();
-    read();
+    drainWrites();
+    drainWrites();
     vi.advanceTimersByTime(1_000);
     log.info('after', {});
-    read();
-    read();
+    drainWrites();
+    drainWrites();
     const dropped = linesOf('log lines dropped');
     expect(dropped).toHaveLength(1);
-    const inAll = dropped.reduce((sum, {lines}) => sum + lines, 0);
-    expect(inAll).toBeGreaterThan(1_000);
-    expect(inAll + written.length).toBe(FLOOD_LINES + 2);
+    const missingLines = dropped.reduce((sum, {lines}) => sum + lines, 0);
+    expect(missingLines).toBeGreaterThan(1_000);
+    expect(missingLines + written.length).toBe(FLOOD_LINES + 2);
   });
 
-  it('tells all lines that were withheld while nobody read', () => {
-    // Guards against numbers that are dropped with the lines that tell them.
+  it('reports every line suppressed while the output was not read', () => {
+    // Guards against losing the counts: a report that is itself dropped must not
+    // reset its counter.
     for (let line = 0; line < FLOOD_LINES; line++) {
       log.info('refused', {line, text: 'x'.repeat(100)});
       log.info(`event ${line}`, {text: 'x'.repeat(100)});
       vi.advanceTimersByTime(1);
     }
-    read();
-    read();
+    drainWrites();
+    drainWrites();
     vi.advanceTimersByTime(1_000);
     log.info('after', {});
-    read();
-    read();
+    drainWrites();
+    drainWrites();
     const notices = [
-      ...linesOf('log lines withheld'),
+      ...linesOf('log lines suppressed'),
       ...linesOf('log lines dropped'),
     ];
-    const inAll = notices.reduce((sum, {lines}) => sum + lines, 0);
-    const told = inAll + written.length - notices.length;
-    expect(told).toBe(2 * FLOOD_LINES + 1);
+    const missingLines = notices.reduce((sum, {lines}) => sum + lines, 0);
+    const accountedLines = missingLines + written.length - notices.length;
+    expect(accountedLines).toBe(2 * FLOOD_LINES + 1);
   });
 });
--- a/packages/runtime/src/test/line-writer_test.ts
+++ b/packages/runtime/src/test/line-writer_test.ts
@@ -1,6 +1,6 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
-import {LineBudget} from '../line-budget.js';
+import {LineRateLimiter} from '../line-budget.js';
 import {LineWriter} from '../line-writer.js';
 
 type Done = (error: Error | null, written: number) => void;
@@ -30,26 +30,26 @@
     vi.useRealTimers();
   });
 
-  it('writes many lines with one call', () => {
+  it('writes several lines with one call', () => {
     writer.push('one\n');
     writer.push('two\n');
     vi.runAllTimers();
     expect(writes.map(({text}) => text)).toEqual(['one\ntwo\n']);
   });
 
-  it('neither waits nor grows while nobody reads', () => {
-    // Callers see nothing. The program that reads the log has stopped; the pipe is
-    // full and the write under way does not end.
+  it('neither blocks nor buffers without limit while the pipe is not read', () => {
+    // The log reader has stopped: the pipe is full and the write in progress does not
+    // complete. Callers must not be affected.
     for (let line = 0; line < 10_000; line++) {
       writer.push(`${'x'.repeat(99)}\n`);
       vi.runAllTimers();
     }
     expect(writes).toHaveLength(1);
-    expect(writer.takeDropped()).toBeGreaterThan(7_000);
-    expect(writer.takeDropped()).toBe(0);
+    expect(writer.consumeDroppedCount()).toBeGreaterThan(7_000);
+    expect(writer.consumeDroppedCount()).toBe(0);
   });
 
-  it('goes on in order when the reader is back', () => {
+  it('continues in order once the pipe is read again', () => {
     writer.push('one\n');
     vi.runAllTimers();
     writer.push('two\n');
@@ -59,14 +59,14 @@
     expect(writes.map(({text}) => text)).toEqual(['one\n', 'two\nthree\n']);
   });
 
-  it('writes the rest where only a part was taken', () => {
+  it('writes the rest after a partial write', () => {
     writer.push('one and more\n');
     vi.runAllTimers();
     writes[0]?.done(null, 4);
     expect(writes[1]?.text).toBe('and more\n');
   });
 
-  it('goes on after an error', () => {
+  it('continues after an error', () => {
     writer.push('one\n');
     vi.runAllTimers();
     writes[0]?.done(new Error('EAGAIN'), 0);
@@ -75,8 +75,8 @@
     expect(writes[1]?.text).toBe('two\n');
   });
 
-  it('writes the rest later where the pipe is full', () => {
-    // Guards against lines of a busy second that are cut and lost.
+  it('retries the rest when the pipe is full', () => {
+    // Guards against cut and lost lines during a burst that fills the pipe.
     writer.push('one and more\n');
     vi.runAllTimers();
     writes[0]?.done(null, 4);
@@ -90,11 +90,11 @@
       'and more\n',
       'two\n',
     ]);
-    expect(writer.takeDropped()).toBe(0);
+    expect(writer.consumeDroppedCount()).toBe(0);
   });
 
-  it('loses no line uncounted while the pipe stays full', () => {
-    // Guards against a buffer that grows, and against lines missing without a word.
+  it('writes or counts every line while the pipe stays full', () => {
+    // Guards against a buffer without limit, and against lines lost without a count.
     const pushed = 10_000;
     for (let line = 0; line < pushed; line++) {
       writer.push(`${'x'.repeat(99)}\n`);
@@ -110,40 +110,40 @@
       vi.runAllTimers();
     }
     expect(written).toBeLessThan(2_700);
-    expect(written + writer.takeDropped()).toBe(pushed);
+    expect(written + writer.consumeDroppedCount()).toBe(pushed);
   });
 
-  it('counts the lines that an error leaves unwritten', () => {
-    // Guards against lines that are missing without a word.
+  it('counts the lines that a write error leaves unwritten', () => {
+    // Guards against lines lost without a count.
     writer.push('one\n');
     writer.push('two\n');
     vi.runAllTimers();
     writes[0]?.done(null, 4);
     writes[1]?.done(new Error('EIO'), 0);
-    expect(writer.takeDropped()).toBe(1);
+    expect(writer.consumeDroppedCount()).toBe(1);
   });
 
-  it('ends a line that an error interrupted before it writes the next', () => {
-    // Guards against two lines that run into one, which no reader understands.
+  it('completes a partially written line after an error before writing the next', () => {
+    // Guards against two lines merged into one, which is not valid JSON.
     writer.push('one and more\n');
     writer.push('two\n');
     vi.runAllTimers();
     writes[0]?.done(null, 4);
     writes[1]?.done(new Error('ENOSPC'), 0);
-    expect(writer.takeDropped()).toBe(1);
+    expect(writer.consumeDroppedCount()).toBe(1);
     for (const line of ['three\n', 'four\n']) {
       writer.push(line);
       vi.runAllTimers();
       writes.at(-1)?.done(new Error('ENOSPC'), 0);
     }
-    expect(writer.takeDropped()).toBe(2);
+    expect(writer.consumeDroppedCount()).toBe(2);
     writer.push('five\n');
     vi.runAllTimers();
     expect(writes.at(-1)?.text).toBe('and more\nfive\n');
   });
 
-  it('writes whole lines at the end, until the pipe is full', () => {
-    // Guards against a last line that is cut, and against an end that waits.
+  it('writes whole lines on close until the pipe is full', () => {
+    // Guards against a truncated last line, and against a close that blocks.
     const last: string[] = [];
     writer = new LineWriter(
       (bytes, done) => {
@@ -170,25 +170,25 @@
 });
 
 describe('LineBudget', () => {
-  it('writes examples of a flood and counts the rest', () => {
-    // A customer without budget sends 2,000 requests a second to one host.
-    const budget = new LineBudget({perSecond: 100, burst: 200});
+  it('writes a sample of a burst and counts the rest', () => {
+    // An organisation without budget sends 2,000 requests per second to one host.
+    const budget = new LineRateLimiter({perSecond: 100, burst: 200});
     let written = 0;
     for (let line = 0; line < 10_000; line++) {
-      written += budget.take('refused', line / 2) ? 1 : 0;
+      written += budget.tryAcquire('refused', line / 2) ? 1 : 0;
     }
     expect(written).toBeGreaterThan(600);
     expect(written).toBeLessThan(800);
-    expect(budget.takeWithheld()).toEqual([
+    expect(budget.consumeSuppressedCounts()).toEqual([
       {event: 'refused', lines: 10_000 - written},
     ]);
-    expect(budget.takeWithheld()).toEqual([]);
+    expect(budget.consumeSuppressedCounts()).toEqual([]);
   });
 
-  it('leaves other events their lines', () => {
-    const budget = new LineBudget({perSecond: 1, burst: 1});
-    expect(budget.take('refused', 0)).toBe(true);
-    expect(budget.take('refused', 0)).toBe(false);
-    expect(budget.take('store lost', 0)).toBe(true);
+  it('limits each event separately', () => {
+    const budget = new LineRateLimiter({perSecond: 1, burst: 1});
+    expect(budget.tryAcquire('refused', 0)).toBe(true);
+    expect(budget.tryAcquire('refused', 0)).toBe(false);
+    expect(budget.tryAcquire('store lost', 0)).toBe(true);
   });
 });
--- a/packages/runtime/src/test/metrics_test.ts
+++ b/packages/runtime/src/test/metrics_test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('metrics', () => {
-  it('are sent as StatsD with prefix and tags', async () => {
+  it('are sent as StatsD datagrams with prefix and tags', async () => {
     const {socket, port} = await receiver();
     const arrived = once(socket, 'message') as Promise<[Buffer]>;
     const metrics = metricsTo(port);
@@ -34,11 +34,10 @@
     socket.close();
   });
 
-  // The receiver is gone, and the system refuses datagrams (here one that is too
-  // large; a host without a route does the same). A caller's request must not
-  // notice: nothing is thrown, nothing is awaited, and a process that stops is
-  // not held up.
-  it('are lost without a trace where they can not be sent', async () => {
+  // The receiver is gone and the system rejects a datagram: here one that is too
+  // large, in production also one from a host without a route. Requests must not be
+  // affected: nothing is thrown or awaited, and shutdown is not delayed.
+  it('are discarded without an error if they can not be sent', async () => {
     const {socket, port} = await receiver();
     socket.close();
     await once(socket, 'close');
@@ -55,7 +54,7 @@
     }).not.toThrow();
   });
 
-  it('are not sent where the settings name no receiver', async () => {
+  it('are not sent if the settings name no receiver', async () => {
     const metrics = createMetrics(undefined, {process: 'router'});
     expect(metrics).toBeInstanceOf(NoMetrics);
     metrics.increment('request.answered');
--- a/packages/runtime/src/test/setting-reader_test.ts
+++ b/packages/runtime/src/test/setting-reader_test.ts
@@ -18,26 +18,26 @@
 });
 
 describe('readSetting', () => {
-  it('finds one text among settings with comments', () => {
+  it('reads one string from settings with comments', () => {
     writeFileSync(
       file,
-      '{\n  // Where callers come.\n  "at": "10.0.0.7:8080",\n}',
+      '{\n  // Address for callers.\n  "at": "10.0.0.7:8080",\n}',
     );
     expect(readSetting(file, 'at')).toBe('10.0.0.7:8080');
   });
 
   it.each([
-    ['another kind of value', '{"at": 5}'],
-    ['no such key', '{}'],
-    ['no object', '7'],
-    ['no settings at all', ''],
-    ['a file that breaks off', '{"at'],
-  ])('leaves %s to the check of the whole file', (_what, text) => {
+    ['a value of another type', '{"at": 5}'],
+    ['a missing key', '{}'],
+    ['a value that is no object', '7'],
+    ['an empty file', ''],
+    ['a truncated file', '{"at'],
+  ])('returns undefined for %s', (_what, text) => {
     writeFileSync(file, text);
     expect(readSetting(file, 'at')).toBeUndefined();
   });
 
-  it('leaves a missing file to that check, too', () => {
+  it('returns undefined for a missing file or path', () => {
     expect(readSetting(join(directory, 'none'), 'at')).toBeUndefined();
     expect(readSetting(undefined, 'at')).toBeUndefined();
   });
--- a/packages/runtime/src/test/settings-file_test.ts
+++ b/packages/runtime/src/test/settings-file_test.ts
@@ -21,7 +21,7 @@
     expect(result.unwrap().callerPort).toBe(8080);
   });
 
-  it('names file, line, key and what was expected, for every mistake', () => {
+  it('reports file, line, key and expectation for every problem', () => {
     const text =
       '{\n  "callerPort": "x",\n  "process": {\n    "hots": "a",\n    "logLevel": "LOUD"\n  }\n}';
     expect(problemsOf(text)).toEqual([
@@ -31,14 +31,14 @@
     ]);
   });
 
-  it('takes null for a value that is absent', () => {
+  it('treats null as an absent value', () => {
     const text = '{"callerPort": null, "process": null}';
     const result = parseSettings(RouterSettingsSchema, text, 'router.jsonc');
     expect(result.unwrap().callerPort).toBe(0);
     expect(result.unwrap().process).toBeUndefined();
   });
 
-  it('refuses a number that is too large for a number', () => {
+  it('rejects a number that overflows to infinity', () => {
     const result = parseSettings(
       GatewaySettingsSchema,
       '{"retryBudgetExtra": 1e999}',
@@ -49,13 +49,13 @@
     ]);
   });
 
-  it('names the line of malformed JSON', () => {
+  it('reports the line of malformed JSON', () => {
     expect(problemsOf('{\n  "callerPort": 1\n  "x": 2\n}')[0]).toContain(
       'router.jsonc:3: file: expected JSON with comments',
     );
   });
 
-  it('refuses an empty file', () => {
+  it('rejects an empty file', () => {
     expect(problemsOf('')).toEqual([
       'router.jsonc:1: file: expected JSON with comments (ValueExpected)',
     ]);
--- a/packages/runtime/src/test/settings-rules_test.ts
+++ b/packages/runtime/src/test/settings-rules_test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('settingsCheckOf', () => {
-  it('accepts what is complete', () => {
+  it('accepts complete settings', () => {
     const keeper = {process: PROCESS, platform: PLATFORM};
     const router = {process: PROCESS, keeperAddress: '10.0.0.5:7101'};
     const operator = {platform: PLATFORM, ledgerStreams: 8, operator: 'aline'};
@@ -32,7 +32,7 @@
     expect(problemsOf(CommandLineSettingsSchema, operator)).toEqual([]);
   });
 
-  it('names every required key that is missing, at the line of its parent', () => {
+  it('reports every missing required key at the line of its parent', () => {
     const keys = problemsOf(KeeperSettingsSchema, {process: {}}).map(problem =>
       problem.split(': ').slice(0, 2).join(' '),
     );
@@ -64,7 +64,7 @@
       {process: {...PROCESS, metrics: {address: '10.0.0.8'}}},
       'process.metrics.port',
     ],
-  ])('refuses a wrong form or range (%#)', (schema, wrong, key) => {
+  ])('rejects a value of wrong format or range (%#)', (schema, wrong, key) => {
     const complete =
       schema.typeName === RouterSettingsSchema.typeName
         ? {process: PROCESS, keeperAddress: '10.0.0.5:7101'}
--- a/packages/runtime/src/test/settings-watch_test.ts
+++ b/packages/runtime/src/test/settings-watch_test.ts
@@ -9,13 +9,13 @@
 
 let folder: string;
 let file: string;
-let taken: string[];
+let reloaded: string[];
 let problems: number;
 let loaded: Result<string, readonly SettingsProblem[]>;
 
-const taker = {
+const listener = {
   reload: (settings: string) => {
-    taken.push(settings);
+    reloaded.push(settings);
   },
   reject: () => {
     problems++;
@@ -26,7 +26,7 @@
   folder = mkdtempSync(join(tmpdir(), 'settings-watch-'));
   file = join(folder, 'settings.jsonc');
   writeFileSync(file, '{}');
-  taken = [];
+  reloaded = [];
   problems = 0;
   loaded = Ok('first');
 });
@@ -36,44 +36,44 @@
 });
 
 describe('SettingsWatch', () => {
-  it('takes a signal that comes while the process starts', () => {
-    // Callers see a host end and come back. It was told that its settings had
-    // changed before it had a handler for that, and the signal ended it.
+  it('keeps a signal that arrives while the process starts', () => {
+    // Guards against a SIGHUP before the handler is registered, which would end the
+    // process: callers saw a host stop and restart.
     const watch = new SettingsWatch(file, () => loaded);
-    watch.signalled();
-    expect(taken).toEqual([]);
-    watch.begin(taker);
-    expect(taken).toEqual(['first']);
+    watch.handleChange();
+    expect(reloaded).toEqual([]);
+    watch.start(listener);
+    expect(reloaded).toEqual(['first']);
   });
 
-  it('notices a change that nobody tells it of, once', () => {
+  it('reloads once after a change without a signal', () => {
     const watch = new SettingsWatch(file, () => loaded);
-    watch.begin(taker);
+    watch.start(listener);
     watch.poll();
-    expect(taken).toEqual([]);
+    expect(reloaded).toEqual([]);
     writeFileSync(file, '{"changed": true}');
     watch.poll();
     watch.poll();
-    expect(taken).toEqual(['first']);
+    expect(reloaded).toEqual(['first']);
   });
 
-  it('leaves the settings in force where the new ones do not fit', () => {
+  it('keeps the current settings if the new ones are not valid', () => {
     const watch = new SettingsWatch(file, () => loaded);
-    watch.begin(taker);
+    watch.start(listener);
     loaded = Err([]);
-    watch.signalled();
-    expect(taken).toEqual([]);
+    watch.handleChange();
+    expect(reloaded).toEqual([]);
     expect(problems).toBe(1);
   });
 
-  it('waits while the file is replaced', () => {
+  it('does not reload while the file is missing during its replacement', () => {
     const watch = new SettingsWatch(file, () => loaded);
-    watch.begin(taker);
+    watch.start(listener);
     rmSync(file);
     watch.poll();
-    expect(taken).toEqual([]);
+    expect(reloaded).toEqual([]);
     writeFileSync(file, '{"changed": true}');
     watch.poll();
-    expect(taken).toEqual(['first']);
+    expect(reloaded).toEqual(['first']);
   });
 });
--- a/packages/runtime/src/test/stop-signal_test.ts
+++ b/packages/runtime/src/test/stop-signal_test.ts
@@ -1,7 +1,7 @@
 import {EventEmitter} from 'node:events';
 import {beforeEach, describe, expect, it} from 'vitest';
 
-import {ExitCode, stopWhenTold, type RunningBinary} from '../binary.js';
+import {ExitCode, stopOnSignal, type RunningBinary} from '../binary.js';
 import {StopSignal} from '../stop-signal.js';
 
 let source: EventEmitter;
@@ -14,29 +14,30 @@
   signal = new StopSignal(source);
   stops = [];
   running = {
-    close: toldAgo => {
-      stops.push(toldAgo);
+    close: millisecondsSinceStop => {
+      stops.push(millisecondsSinceStop);
       return Promise.resolve();
     },
   };
 });
 
-function turnOfEventLoop(): Promise<void> {
+function nextEventLoopTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-describe('a stop by signal', () => {
-  it('comes after the start where the signal came before', async () => {
-    // Guards against callers that are cut when a process is told to stop early.
+describe('stopping on a signal', () => {
+  it('waits for the start if the signal arrives earlier', async () => {
+    // Guards against cutting callers' connections when the stop signal arrives during
+    // the start.
     let finishStart: () => void = () => undefined;
     const started = new Promise<RunningBinary>(resolve => {
       finishStart = () => {
         resolve(running);
       };
     });
-    const stopped = stopWhenTold(signal, started);
+    const stopped = stopOnSignal(signal, started);
     source.emit('SIGTERM');
-    await turnOfEventLoop();
+    await nextEventLoopTurn();
     expect(stops).toEqual([]);
     finishStart();
     expect(await stopped).toBe(ExitCode.Success);
@@ -44,23 +45,23 @@
     expect(stops[0]).toBeGreaterThan(0);
   });
 
-  it('begins once, whatever signals follow', async () => {
-    // Guards against a second signal that ends a stop at once.
-    const stopped = stopWhenTold(signal, Promise.resolve(running));
-    expect(signal.age).toBe(0);
+  it('happens once even if more signals follow', async () => {
+    // Guards against a second signal that aborts the graceful shutdown.
+    const stopped = stopOnSignal(signal, Promise.resolve(running));
+    expect(signal.millisecondsSinceReceived).toBe(0);
     for (const name of ['SIGTERM', 'SIGTERM', 'SIGINT']) {
       expect(source.emit(name)).toBe(true);
     }
     await stopped;
     source.emit('SIGTERM');
-    await turnOfEventLoop();
+    await nextEventLoopTurn();
     expect(stops).toHaveLength(1);
   });
 
-  it('tells of a stop that failed', async () => {
+  it('returns a failure code if closing fails', async () => {
     running.close = () => Promise.reject(new Error('not closed'));
     source.emit('SIGTERM');
-    const code = await stopWhenTold(signal, Promise.resolve(running));
+    const code = await stopOnSignal(signal, Promise.resolve(running));
     expect(code).toBe(ExitCode.Failure);
   });
 });
--- a/packages/runtime/src/test/system-clock_test.ts
+++ b/packages/runtime/src/test/system-clock_test.ts
@@ -4,18 +4,19 @@
 
 describe('SystemClock', () => {
   it.each([[2 ** 31], [1e15]])(
-    'sleeps on where a timer can not wait for %d ms',
+    'sleeps although a timer does not support %d ms',
     async milliseconds => {
-      // The caller's answer is cut: a stop whose grace is very long ends at once.
+      // Guards against answers that are cut because a shutdown with a very long grace
+      // period ends at once: a longer timer than the maximum fires immediately.
       const clock = new SystemClock();
-      const giveUp = new AbortController();
+      const controller = new AbortController();
       let isAwake = false;
-      const slept = clock.sleep(milliseconds, giveUp.signal).then(() => {
+      const slept = clock.sleep(milliseconds, controller.signal).then(() => {
         isAwake = true;
       });
       await clock.sleep(20);
       expect(isAwake).toBe(false);
-      giveUp.abort();
+      controller.abort();
       await slept;
     },
   );
