--- a/packages/stand-ins/src/engine-attempt.ts
+++ b/packages/stand-ins/src/engine-attempt.ts
@@ -1,15 +1,15 @@
 import type {ExpectedCompletion} from './expected-completion.js';
 
-/** What an engine was asked for. */
+/** The work of one attempt at an engine. */
 export interface AttemptWork {
   readonly attemptId: string;
   readonly completion: ExpectedCompletion;
   readonly priority: number;
-  /** Steps that read the prompt before the first token. */
+  /** Number of batch steps that process the prompt before the first token. */
   readonly promptSteps: number;
 }
 
-/** One attempt from its arrival to its end. */
+/** The state of one attempt at an engine. */
 export class EngineAttempt {
   private generated = 0;
   private promptStepsLeft: number;
@@ -18,13 +18,13 @@
 
   constructor(
     readonly work: AttemptWork,
-    /** Counts arrivals. */
+    /** Sequence number of arrival. */
     readonly arrival: number,
   ) {
     this.promptStepsLeft = work.promptSteps;
   }
 
-  /** One step of the batch: reads the prompt or makes one token. */
+  /** Runs one step of the batch: processes part of the prompt or generates a token. */
   step(): void {
     if (this.promptStepsLeft > 0) {
       this.promptStepsLeft--;
@@ -34,7 +34,7 @@
     this.notify();
   }
 
-  /** Ends it as it is. */
+  /** Cancels the attempt, keeping the tokens generated so far. */
   cancel(): void {
     if (!this.finished) {
       this.cancelled = true;
@@ -42,24 +42,24 @@
     }
   }
 
-  /** No token will come any more. */
+  /** Whether the attempt is complete or cancelled. */
   get finished(): boolean {
     return (
       this.cancelled || this.generated >= this.work.completion.tokens.length
     );
   }
 
-  /** The tokens so far. */
+  /** The tokens generated so far. */
   get tokens(): readonly string[] {
     return this.work.completion.tokens.slice(0, this.generated);
   }
 
-  /** How many tokens were made. */
+  /** Number of tokens generated so far. */
   get completionTokens(): number {
     return this.generated;
   }
 
-  /** As chat completions name it; undefined while it runs. */
+  /** `finish_reason` of the chat completion; undefined while the attempt runs. */
   get finishReason(): string | undefined {
     if (this.cancelled) {
       return 'cancelled';
@@ -70,7 +70,7 @@
     return this.work.completion.cutByMaximum ? 'length' : 'stop';
   }
 
-  /** Calls back after each change; returns the function that ends it. */
+  /** Subscribes to changes. Returns a function that unsubscribes. */
   listen(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/packages/stand-ins/src/engine-batch.ts
+++ b/packages/stand-ins/src/engine-batch.ts
@@ -1,9 +1,9 @@
 import {EngineAttempt, type AttemptWork} from './engine-attempt.js';
 
 /**
- * Continuous batching: each step gives one token to every running attempt, and a
- * slot that becomes free is taken at once by the waiting attempt of the lowest
- * priority number, the first come first among equals.
+ * Continuous batching: each step advances every running attempt by one token. A free
+ * slot is assigned at once to the waiting attempt with the lowest priority number, in
+ * order of arrival among equals.
  */
 export class EngineBatch {
   private readonly running = new Set<EngineAttempt>();
@@ -15,7 +15,7 @@
     private readonly maximumWaiting: number,
   ) {}
 
-  /** Takes an attempt up, or returns undefined where too many wait. */
+  /** Adds an attempt. Returns undefined if all slots and the queue are full. */
   add(work: AttemptWork): EngineAttempt | undefined {
     if (
       this.running.size >= this.slots &&
@@ -29,7 +29,7 @@
     return attempt;
   }
 
-  /** One step for every running attempt. */
+  /** Runs one step of every running attempt. */
   step(): void {
     for (const attempt of this.running) {
       attempt.step();
@@ -43,12 +43,12 @@
     this.removeFinished();
   }
 
-  /** Attempts that hold a slot. */
+  /** Number of attempts that occupy a slot. */
   get runningCount(): number {
     return this.running.size;
   }
 
-  /** Attempts that wait for one. */
+  /** Number of attempts that wait for a slot. */
   get waitingCount(): number {
     return this.waiting.length;
   }
--- a/packages/stand-ins/src/engine-orders.ts
+++ b/packages/stand-ins/src/engine-orders.ts
@@ -1,24 +1,35 @@
 import type {EngineOrder} from '@wisteriadeal/platform';
 
-/** Orders that an engine took, with or without a look at fencing numbers. */
+/** Orders that an engine accepted, with or without checking fencing numbers. */
 export class EngineOrders {
-  private highest = 0;
-  private readonly taken: EngineOrder[] = [];
+  private highestFencingNumber = 0;
+  private readonly accepted: EngineOrder[] = [];
 
   constructor(private readonly checksFencingNumbers: boolean) {}
 
-  /** Takes an order; false where its fencing number is old and is looked at. */
-  take(order: EngineOrder): boolean {
-    if (this.checksFencingNumbers && order.fencingNumber < this.highest) {
+  /**
+   * Accepts an order.
+   *
+   * @returns False if fencing numbers are checked and the order's number is lower than
+   *     one accepted before.
+   */
+  accept(order: EngineOrder): boolean {
+    if (
+      this.checksFencingNumbers &&
+      order.fencingNumber < this.highestFencingNumber
+    ) {
       return false;
     }
-    this.highest = Math.max(this.highest, order.fencingNumber);
-    this.taken.push(order);
+    this.highestFencingNumber = Math.max(
+      this.highestFencingNumber,
+      order.fencingNumber,
+    );
+    this.accepted.push(order);
     return true;
   }
 
-  /** Every order taken, in order. */
+  /** All accepted orders, oldest first. */
   get history(): readonly EngineOrder[] {
-    return [...this.taken];
+    return [...this.accepted];
   }
 }
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -24,7 +24,7 @@
   readBody,
   sendJson,
   Status,
-  takeMessage,
+  handleMessage,
 } from './stand-in-server.js';
 
 interface CompletionBody {
@@ -34,16 +34,16 @@
 }
 
 const NO_FAULT: StreamFault = {truncateAfter: undefined};
-const FROZEN_LOOK_MILLISECONDS = 20;
+const FROZEN_POLL_MILLISECONDS = 20;
 
-/** A model engine that answers with a function of the prompt. */
+/** Simulates a model engine whose answer is a function of the prompt. */
 export class EngineStandIn {
   private readonly batch: EngineBatch;
   private readonly cache: PrefixCache;
   private readonly orders: EngineOrders;
   private readonly attempts = new Map<string, EngineAttempt>();
   private faults: EngineStandInFaults;
-  private report: EngineLoad;
+  private loadReport: EngineLoad;
   private readonly stopping = new AbortController();
 
   constructor(
@@ -59,39 +59,39 @@
     );
     this.orders = new EngineOrders(settings.checksFencingNumbers);
     this.faults = settings.faults ?? create(EngineStandInFaultsSchema);
-    this.report = this.loadNow();
+    this.loadReport = this.currentLoad();
   }
 
   /** Registers the routes. */
   register(server: Server): void {
     server.post('/v1/chat/completions', async (request, response) => {
-      await this.whileFrozen();
+      await this.waitWhileFrozen();
       await this.startCompletion(request, response);
     });
     server.get('/v1/attempts/:attempt/events', async (request, response) => {
-      await this.whileFrozen();
+      await this.waitWhileFrozen();
       this.resume(request, response);
     });
     server.get('/v1/attempts/:attempt', async (request, response) => {
-      await this.whileFrozen();
+      await this.waitWhileFrozen();
       this.sendStatus(request, response);
     });
     server.del('/v1/attempts/:attempt', async (request, response) => {
-      await this.whileFrozen();
+      await this.waitWhileFrozen();
       this.cancel(request, response);
     });
     server.get('/load', async (_request, response) => {
-      await this.whileFrozen();
-      sendJson(response, Status.Success, this.report);
+      await this.waitWhileFrozen();
+      sendJson(response, Status.Success, this.loadReport);
     });
     server.post('/orders', async (request, response) => {
-      await this.whileFrozen();
-      await this.takeOrder(request, response);
+      await this.waitWhileFrozen();
+      await this.handleOrder(request, response);
     });
     this.registerControl(server);
   }
 
-  /** Steps the batch until it is closed. */
+  /** Runs the steps of the batch until `close` is called. */
   async runSteps(): Promise<void> {
     const {signal} = this.stopping;
     while (!signal.aborted) {
@@ -104,16 +104,16 @@
     }
   }
 
-  /** Renews the load report until it is closed. */
+  /** Updates the load report periodically until `close` is called. */
   async runReports(): Promise<void> {
     const {signal} = this.stopping;
     while (!signal.aborted) {
       await this.clock.sleep(this.settings.loadLagMilliseconds, signal);
-      this.report = this.loadNow();
+      this.loadReport = this.currentLoad();
     }
   }
 
-  /** Ends the steps. */
+  /** Stops the steps and the load reports. */
   close(): void {
     this.stopping.abort();
   }
@@ -121,7 +121,7 @@
   private registerControl(server: Server): void {
     server.post('/control/faults', async (request, response) => {
       const schema = EngineStandInFaultsSchema;
-      await takeMessage(schema, request, response, faults => {
+      await handleMessage(schema, request, response, faults => {
         this.faults = faults;
       });
     });
@@ -140,7 +140,7 @@
     });
   }
 
-  private loadNow(): EngineLoad {
+  private currentLoad(): EngineLoad {
     return {
       running: this.batch.runningCount,
       waiting: this.batch.waitingCount,
@@ -151,9 +151,9 @@
     };
   }
 
-  private async whileFrozen(): Promise<void> {
+  private async waitWhileFrozen(): Promise<void> {
     while (this.faults.frozen && !this.stopping.signal.aborted) {
-      await this.clock.sleep(FROZEN_LOOK_MILLISECONDS, this.stopping.signal);
+      await this.clock.sleep(FROZEN_POLL_MILLISECONDS, this.stopping.signal);
     }
   }
 
@@ -165,19 +165,20 @@
     const priority = Number(request.header('x-priority', '0'));
     const text = (await readBody(request)).toString();
     const body = JSON.parse(text) as CompletionBody;
-    // A repeat of the same attempt joins it: the first may have been sent twice.
+    // A request may be sent twice: a repeat of an attempt joins the one in progress.
     const attempt =
-      this.attempts.get(attemptId) ?? this.takeUp(attemptId, priority, body);
+      this.attempts.get(attemptId) ??
+      this.addAttempt(attemptId, priority, body);
     if (attempt === undefined) {
       sendJson(response, Status.Unavailable, {error: 'not taken up'});
       return;
     }
-    const shown = this.crossed(attempt);
-    const fault = this.streamFault(shown);
-    new EngineStreamWriter(shown, response, -1, fault).start();
+    const served = this.selectServedAttempt(attempt);
+    const fault = this.streamFault(served);
+    new EngineStreamWriter(served, response, -1, fault).start();
   }
 
-  private takeUp(
+  private addAttempt(
     attemptId: string,
     priority: number,
     body: CompletionBody,
@@ -186,7 +187,7 @@
       return undefined;
     }
     const {model, messages} = body;
-    const uncached = this.cache.takeUncachedTokens(messages);
+    const uncached = this.cache.cachePrompt(messages);
     const attempt = this.batch.add({
       attemptId,
       completion: expectedCompletion(model, messages, body.max_tokens),
@@ -199,7 +200,7 @@
     return attempt;
   }
 
-  private crossed(attempt: EngineAttempt): EngineAttempt {
+  private selectServedAttempt(attempt: EngineAttempt): EngineAttempt {
     if (this.random.fraction() >= this.faults.crossShare) {
       return attempt;
     }
@@ -249,9 +250,12 @@
     });
   }
 
-  private async takeOrder(request: Request, response: Response): Promise<void> {
+  private async handleOrder(
+    request: Request,
+    response: Response,
+  ): Promise<void> {
     const text = (await readBody(request)).toString();
-    const taken = this.orders.take(JSON.parse(text) as EngineOrder);
+    const taken = this.orders.accept(JSON.parse(text) as EngineOrder);
     sendJson(response, taken ? Status.Success : Status.Conflict, {taken});
   }
 }
--- a/packages/stand-ins/src/engine-stream-writer.ts
+++ b/packages/stand-ins/src/engine-stream-writer.ts
@@ -2,9 +2,9 @@
 
 import type {EngineAttempt} from './engine-attempt.js';
 
-/** What goes wrong with one stream. */
+/** Fault to inject into a stream. */
 export interface StreamFault {
-  /** The connection ends after this many tokens. */
+  /** Number of tokens after which the connection is closed; undefined for no fault. */
   readonly truncateAfter: number | undefined;
 }
 
@@ -13,7 +13,7 @@
   return `${id}data: ${JSON.stringify(data)}\n\n`;
 }
 
-/** Writes an attempt's tokens as server-sent events while they are made. */
+/** Streams an attempt's tokens as server-sent events while they are generated. */
 export class EngineStreamWriter {
   private next: number;
   private stopListening: () => void = () => undefined;
@@ -27,7 +27,7 @@
     this.next = afterIndex + 1;
   }
 
-  /** Writes the head and what there is, and goes on with what comes. */
+  /** Writes the response headers and existing tokens, then each new token. */
   start(): void {
     const {attemptId} = this.attempt.work;
     this.response.writeHead(200, {
--- a/packages/stand-ins/src/expected-completion.ts
+++ b/packages/stand-ins/src/expected-completion.ts
@@ -5,25 +5,25 @@
 const TOKEN_DIGITS = 8;
 const LENGTH_WORD = /(?:^|\s)length=(\d+)(?:\s|$)/;
 
-/** What the engine stand-in answers to a prompt. */
+/** The engine stand-in's answer to a prompt. */
 export interface ExpectedCompletion {
-  /** One entry a token, each ending with a space. */
+  /** One entry per token, each ending with a space. */
   readonly tokens: readonly string[];
   readonly text: string;
   readonly promptTokens: number;
   readonly completionTokens: number;
-  /** True where the maximum, not the prompt, ended the answer. */
+  /** Whether the maximum, not the prompt, limited the answer's length. */
   readonly cutByMaximum: boolean;
 }
 
-/** Counts the words of a prompt, which are the stand-in's tokens. */
+/** Counts a prompt's tokens, which for the stand-in are its words. */
 export function countPromptTokens(messages: readonly ChatMessage[]): number {
   return messages
     .flatMap(message => message.content.split(/\s+/))
     .filter(word => word !== '').length;
 }
 
-function wantedTokens(messages: readonly ChatMessage[]): number {
+function requestedTokens(messages: readonly ChatMessage[]): number {
   for (const message of messages) {
     const match = LENGTH_WORD.exec(message.content);
     if (match !== null) {
@@ -41,10 +41,10 @@
 }
 
 /**
- * The answer that the engine stand-in gives: a function of the model and the
- * messages only, so that a caller can verify that an answer is its own.
+ * Computes the engine stand-in's answer, which depends on the model, the messages and
+ * the maximum only, so that a caller can verify that an answer belongs to its request.
  *
- * @param maximumTokens The most the engine was allowed to generate.
+ * @param maximumTokens Maximum number of generated tokens.
  * @example
  * ```ts
  * const {text} = expectedCompletion('tutor', [{role: 'user', content: 'hi'}], 64);
@@ -58,8 +58,8 @@
   const prompt = JSON.stringify(
     messages.map(({role, content}) => ({role, content})),
   );
-  const wanted = wantedTokens(messages);
-  const length = Math.min(wanted, maximumTokens);
+  const requested = requestedTokens(messages);
+  const length = Math.min(requested, maximumTokens);
   const tokens = Array.from({length}, (_, index) =>
     tokenAt(model, prompt, index),
   );
@@ -68,6 +68,6 @@
     text: tokens.join(''),
     promptTokens: countPromptTokens(messages),
     completionTokens: length,
-    cutByMaximum: wanted > maximumTokens,
+    cutByMaximum: requested > maximumTokens,
   };
 }
--- a/packages/stand-ins/src/host-directory.ts
+++ b/packages/stand-ins/src/host-directory.ts
@@ -1,6 +1,6 @@
 import type {Clock, HostListing} from '@wisteriadeal/platform';
 
-interface Showing {
+interface ScheduledListing {
   readonly fromMilliseconds: number;
   readonly listing: HostListing;
 }
@@ -8,31 +8,32 @@
 const EMPTY: HostListing = {hosts: [], endpoints: []};
 
 /**
- * The platform's list: a change is shown only after a lag, and addresses may
- * differ by viewer, as they do where viewers reach hosts over different networks.
+ * The platform's list of hosts and endpoints. A change becomes visible after a delay,
+ * and addresses may differ by viewer, as if viewers reached hosts over different
+ * networks.
  */
 export class HostDirectory {
-  private readonly showings = new Map<string, Showing[]>();
+  private readonly schedules = new Map<string, ScheduledListing[]>();
 
   constructor(
     private readonly clock: Clock,
     private readonly lagMilliseconds: number,
   ) {}
 
-  /** Sets what a viewer sees; the empty name is for all others. */
+  /** Sets a viewer's listing; the empty name sets the default for other viewers. */
   set(viewer: string, listing: HostListing): void {
-    const showings = this.showings.get(viewer) ?? [];
-    // The first listing is shown at once: before it, nothing runs.
-    const lag = showings.length === 0 ? 0 : this.lagMilliseconds;
+    const schedule = this.schedules.get(viewer) ?? [];
+    // The first listing is visible at once, as no process runs before it.
+    const lag = schedule.length === 0 ? 0 : this.lagMilliseconds;
     const fromMilliseconds = this.clock.monotonicMilliseconds() + lag;
-    this.showings.set(viewer, [...showings, {fromMilliseconds, listing}]);
+    this.schedules.set(viewer, [...schedule, {fromMilliseconds, listing}]);
   }
 
-  /** What a viewer sees now. */
+  /** Returns the listing that is visible to a viewer now. */
   read(viewer: string): HostListing {
     const now = this.clock.monotonicMilliseconds();
-    const showings = this.showings.get(viewer) ?? this.showings.get('') ?? [];
-    const shown = showings.filter(showing => showing.fromMilliseconds <= now);
-    return shown.at(-1)?.listing ?? EMPTY;
+    const schedule = this.schedules.get(viewer) ?? this.schedules.get('') ?? [];
+    const visible = schedule.filter(entry => entry.fromMilliseconds <= now);
+    return visible.at(-1)?.listing ?? EMPTY;
   }
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Development only: small stand-ins for the platform, model engines and plain
- * services, and fakes for tests.
+ * Small stand-ins for the platform, model engines and plain services, and fakes for
+ * tests. For development only.
  */
 export * from './expected-completion.js';
 export * from './testing/index.js';
--- a/packages/stand-ins/src/plain-service-stand-in.ts
+++ b/packages/stand-ins/src/plain-service-stand-in.ts
@@ -13,29 +13,29 @@
   readQuery,
   sendJson,
   Status,
-  takeMessage,
+  handleMessage,
 } from './stand-in-server.js';
 
-/** What a call answers, so that a caller can verify that the answer is its own. */
+/** Answer to a call; a caller can verify from it that it belongs to its request. */
 export interface PlainServiceReply {
   readonly requestId: string;
   readonly organisation: string;
   readonly call: string;
   /** SHA-256 of the request's body, lower-case hexadecimal. */
   readonly digest: string;
-  /** Counts every execution of this process. */
+  /** Sequence number of the execution within this process, from 1. */
   readonly number: number;
 }
 
-/** The digest that a reply repeats. */
+/** Computes the digest of a request's body that a reply contains. */
 export function bodyDigest(body: Uint8Array): string {
   return createHash('sha256').update(body).digest('hex');
 }
 
-/** A plain service that counts what it runs. */
+/** Simulates a plain service and counts the executions per request. */
 export class PlainServiceStandIn {
   private faults: PlainServiceStandInFaults;
-  private executed = 0;
+  private executionCount = 0;
   private readonly executions = new Map<string, number>();
   private readonly outcomes = new Map<string, PlainServiceReply>();
 
@@ -67,7 +67,7 @@
     });
     server.post('/control/faults', async (request, response) => {
       const schema = PlainServiceStandInFaultsSchema;
-      await takeMessage(schema, request, response, faults => {
+      await handleMessage(schema, request, response, faults => {
         this.faults = faults;
       });
     });
@@ -96,7 +96,7 @@
       organisation: request.header('x-organisation', ''),
       call: request.path().slice(1),
       digest: bodyDigest(body),
-      number: ++this.executed,
+      number: ++this.executionCount,
     };
     const before = this.executions.get(requestId) ?? 0;
     this.executions.set(requestId, before + 1);
--- a/packages/stand-ins/src/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform-stand-in.ts
@@ -14,7 +14,7 @@
   readQuery,
   sendJson,
   Status,
-  takeMessage,
+  handleMessage,
 } from './stand-in-server.js';
 import {MemoryLogStore} from './testing/memory-log.js';
 import {TokenBucket} from './token-bucket.js';
@@ -23,11 +23,15 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const DEFAULT_READ_LIMIT = 1_000;
 
-function numberOf(query: URLSearchParams, name: string, fallback: number) {
+function numberParameter(
+  query: URLSearchParams,
+  name: string,
+  fallback: number,
+) {
   return Number(query.get(name) ?? fallback);
 }
 
-/** The platform's log, list and weight store, kept in memory. */
+/** Simulates the platform's log, host list and weight store in memory. */
 export class PlatformStandIn {
   private readonly store: MemoryLogStore;
   private readonly directory: HostDirectory;
@@ -66,12 +70,12 @@
     });
     server.post('/weights/:artifact/tickets', async (_request, response) => {
       await Promise.resolve();
-      this.giveTicket(response);
+      this.issueTicket(response);
     });
     this.registerControl(server);
   }
 
-  /** Ends waiting reads. */
+  /** Ends reads that wait for a record. */
   close(): void {
     this.stopping.abort();
   }
@@ -79,7 +83,7 @@
   private registerControl(server: Server): void {
     server.post('/control/faults', async (request, response) => {
       const schema = PlatformStandInFaultsSchema;
-      await takeMessage(schema, request, response, faults => {
+      await handleMessage(schema, request, response, faults => {
         this.setFaults(faults);
       });
     });
@@ -135,11 +139,14 @@
   private async read(request: Request, response: Response): Promise<void> {
     const query = readQuery(request);
     const stream = pathParameter(request, 'stream');
-    const from = numberOf(query, 'from', 0);
-    const limit = numberOf(query, 'limit', DEFAULT_READ_LIMIT);
+    const from = numberParameter(query, 'from', 0);
+    const limit = numberParameter(query, 'limit', DEFAULT_READ_LIMIT);
     await this.clock.sleep(this.faults.delayMilliseconds);
     if (!this.faults.logOutage && this.store.endOffset(stream) <= from) {
-      await this.waitForAppend(stream, numberOf(query, 'waitMilliseconds', 0));
+      await this.waitForAppend(
+        stream,
+        numberParameter(query, 'waitMilliseconds', 0),
+      );
     }
     if (this.faults.logOutage) {
       sendJson(response, Status.Unavailable, {error: 'outage'});
@@ -157,13 +164,16 @@
     stream: string,
     milliseconds: number,
   ): Promise<void> {
-    const ended = new AbortController();
-    const either = AbortSignal.any([ended.signal, this.stopping.signal]);
+    const waitEnded = new AbortController();
+    const waitSignal = AbortSignal.any([
+      waitEnded.signal,
+      this.stopping.signal,
+    ]);
     await Promise.race([
-      this.store.nextAppend(stream, either),
-      this.clock.sleep(milliseconds, either),
+      this.store.nextAppend(stream, waitSignal),
+      this.clock.sleep(milliseconds, waitSignal),
     ]);
-    ended.abort();
+    waitEnded.abort();
   }
 
   private listHosts(request: Request, response: Response): void {
@@ -175,7 +185,7 @@
     sendJson(response, Status.Success, this.directory.read(viewer));
   }
 
-  private giveTicket(response: Response): void {
+  private issueTicket(response: Response): void {
     const wait = this.weightBucket?.take() ?? MILLISECONDS_PER_MINUTE;
     if (wait > 0) {
       sendJson(response, Status.TooManyRequests, {
--- a/packages/stand-ins/src/prefix-cache.ts
+++ b/packages/stand-ins/src/prefix-cache.ts
@@ -1,16 +1,16 @@
 import type {ChatMessage, RandomSource} from '@wisteriadeal/platform';
 import {createHash} from 'node:crypto';
 
-/** Announcements kept for readers that come late. */
-const ANNOUNCEMENTS_KEPT = 256;
-/** Characters of one cached block. */
+/** Number of recent announcements kept for readers that poll late. */
+const MAXIMUM_ANNOUNCEMENTS = 256;
+/** Length of a cached block in characters. */
 const BLOCK_CHARACTERS = 256;
-/** Blocks that are hashed and announced; later ones are never shared. */
+/** Maximum number of blocks hashed and announced per prompt; later ones aren't cached. */
 const MAXIMUM_BLOCKS = 16;
 
 /**
- * One hash for each whole block of a prompt's JSON; each covers the prompt from
- * its start. Routers hash prompts the same way to recognise announcements.
+ * Returns one hash per complete block of a prompt's JSON; each covers the prompt from
+ * its start. Routers compute the same hashes to match them with announcements.
  */
 export function promptPrefixes(
   messages: readonly ChatMessage[],
@@ -28,14 +28,14 @@
 }
 
 /**
- * The prompt prefixes that an engine keeps, and its announcements of them, some
- * of which are lost.
+ * An engine's cache of prompt prefixes with least-recently-used eviction, and the
+ * announcements of new prefixes, a share of which is lost.
  */
 export class PrefixCache {
-  /** From the least to the most lately used. */
+  /** Ordered from the least to the most recently used. */
   private readonly prefixes = new Set<string>();
   private readonly announced: string[] = [];
-  private events = 0;
+  private eventCount = 0;
 
   constructor(
     private readonly capacity: number,
@@ -43,41 +43,41 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Counts the prompt's tokens that are not cached, and caches it. */
-  takeUncachedTokens(messages: readonly ChatMessage[]): number {
+  /** Caches a prompt; returns the number of its tokens that were not cached before. */
+  cachePrompt(messages: readonly ChatMessage[]): number {
     const hashes = promptPrefixes(messages);
     const hits = hashes.findLastIndex(hash => this.prefixes.has(hash)) + 1;
     for (const hash of hashes) {
-      this.keep(hash);
+      this.addPrefix(hash);
     }
     const uncached = JSON.stringify(messages).slice(hits * BLOCK_CHARACTERS);
     return uncached.split(/\s+/).length;
   }
 
-  /** Rises with each event, announced or not. */
+  /** Number of cache events, including those whose announcement was lost. */
   get sequence(): number {
-    return this.events;
+    return this.eventCount;
   }
 
-  /** What was announced lately. */
+  /** Hashes of the recently announced prefixes, oldest first. */
   get announcements(): readonly string[] {
     return [...this.announced];
   }
 
-  private keep(hash: string): void {
-    const known = this.prefixes.delete(hash);
+  private addPrefix(hash: string): void {
+    const wasCached = this.prefixes.delete(hash);
     this.prefixes.add(hash);
-    if (known) {
+    if (wasCached) {
       return;
     }
     const [oldest] = this.prefixes;
     if (this.prefixes.size > this.capacity && oldest !== undefined) {
       this.prefixes.delete(oldest);
     }
-    this.events++;
+    this.eventCount++;
     if (this.random.fraction() >= this.lossShare) {
       this.announced.push(hash);
-      this.announced.splice(0, this.announced.length - ANNOUNCEMENTS_KEPT);
+      this.announced.splice(0, this.announced.length - MAXIMUM_ANNOUNCEMENTS);
     }
   }
 }
--- a/packages/stand-ins/src/require-process.ts
+++ b/packages/stand-ins/src/require-process.ts
@@ -1,11 +1,15 @@
 import type {StandInProcessSettings} from '@wisteriadeal/schema';
 
-/** The settings' part `process`, without which a stand-in can't listen. */
+/**
+ * Returns the settings under the key `process`, which a stand-in needs to listen.
+ *
+ * @throws An error if the key is missing.
+ */
 export function requireProcess(
   settings: StandInProcessSettings | undefined,
 ): StandInProcessSettings {
   if (settings === undefined) {
-    throw new Error('the settings lack the key process');
+    throw new Error("the settings are missing the required key 'process'");
   }
   return settings;
 }
--- a/packages/stand-ins/src/stand-in-server.ts
+++ b/packages/stand-ins/src/stand-in-server.ts
@@ -8,7 +8,7 @@
 import type {AddressInfo} from 'node:net';
 import restify, {type Request, type Response, type Server} from 'restify';
 
-/** Status codes that the stand-ins answer. */
+/** HTTP status codes that the stand-ins send. */
 export enum Status {
   Success = 200,
   Created = 201,
@@ -21,7 +21,7 @@
   Unavailable = 503,
 }
 
-/** Reads a request's whole body. */
+/** Reads the complete body of a request. */
 export async function readBody(request: Request): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
@@ -30,17 +30,17 @@
   return Buffer.concat(chunks);
 }
 
-/** Reads the query of a request. */
+/** Parses the query parameters of a request. */
 export function readQuery(request: Request): URLSearchParams {
   return new URL(request.url ?? '/', 'http://stand-in').searchParams;
 }
 
-/** Reads a parameter of a request's path. */
+/** Returns a path parameter of a request. */
 export function pathParameter(request: Request, name: string): string {
   return String((request.params as Record<string, unknown>)[name]);
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson(
   response: Response,
   status: Status,
@@ -52,11 +52,12 @@
 }
 
 /**
- * Answers a control request whose body is a message of the schema.
+ * Handles a control request whose body is a message of the schema. Responds with 400
+ * and all problems if it doesn't match the schema.
  *
- * @param apply Called with the message where it fits the schema.
+ * @param apply Called with a message that matches the schema.
  */
-export async function takeMessage<Schema extends DescMessage>(
+export async function handleMessage<Schema extends DescMessage>(
   schema: Schema,
   request: Request,
   response: Response,
@@ -78,10 +79,10 @@
   private constructor(private readonly server: Server) {}
 
   /**
-   * Listens, and writes the line `listening`.
+   * Starts a server and logs the event `listening` with its address.
    *
    * @param routes Registers the routes.
-   * @throws The system's error where the address can't be taken.
+   * @throws The system error if the address can't be bound.
    * @example
    * ```ts
    * const server = await StandInServer.listen(settings, log, routes => {
@@ -107,7 +108,7 @@
     return new StandInServer(server);
   }
 
-  /** Ends every connection. */
+  /** Stops listening and closes every connection. */
   async close(): Promise<void> {
     await new Promise<void>(resolve => {
       this.server.close(() => {
--- a/packages/stand-ins/src/test/engine-batch_test.ts
+++ b/packages/stand-ins/src/test/engine-batch_test.ts
@@ -14,7 +14,7 @@
   return {attemptId, completion, priority, promptSteps: 0};
 }
 
-test('every attempt ends, whole, with no more than the slots at once', () => {
+test('every attempt completes, with at most the number of slots running', () => {
   const attempts = fc.array(
     fc.record({priority: fc.nat(3), length: fc.integer({min: 1, max: 9})}),
     {minLength: 1, maxLength: 30},
@@ -38,7 +38,7 @@
   );
 });
 
-test('a free slot goes to the lowest priority number first', () => {
+test('a free slot is assigned to the lowest priority number', () => {
   const batch = new EngineBatch(1, 10);
   const first = batch.add(work('first', 5, 1));
   const later = batch.add(work('later', 9, 1));
@@ -50,7 +50,7 @@
   expect(later?.finished).toBe(false);
 });
 
-test('a cancelled attempt frees its slot and keeps its count', () => {
+test('a cancelled attempt frees its slot and keeps its token count', () => {
   const batch = new EngineBatch(1, 10);
   const long = batch.add(work('long', 0, 9));
   const next = batch.add(work('next', 0, 1));
@@ -64,7 +64,7 @@
   expect(next?.finishReason).toBe('stop');
 });
 
-test('only an engine that checks refuses an old fencing number', () => {
+test('an old fencing number is rejected only if fencing numbers are checked', () => {
   const kind = EngineOrderKind.LoadModel;
   const orders = [
     {kind, subject: 'new', fencingNumber: 2},
@@ -72,6 +72,6 @@
   ];
   const checking = new EngineOrders(true);
   const ignoring = new EngineOrders(false);
-  expect(orders.map(order => checking.take(order))).toEqual([true, false]);
-  expect(orders.map(order => ignoring.take(order))).toEqual([true, true]);
+  expect(orders.map(order => checking.accept(order))).toEqual([true, false]);
+  expect(orders.map(order => ignoring.accept(order))).toEqual([true, true]);
 });
--- a/packages/stand-ins/src/test/host-directory_test.ts
+++ b/packages/stand-ins/src/test/host-directory_test.ts
@@ -8,7 +8,7 @@
   return {hosts: [], endpoints: [{endpoint, state: ListedState.Live}]};
 }
 
-test('a change of the list is shown only after the lag', async () => {
+test('a change of the listing is visible only after the delay', async () => {
   const clock = new FakeClock();
   const directory = new HostDirectory(clock, 1_000);
   directory.set('', listing('one'));
@@ -20,7 +20,7 @@
   expect(directory.read('any')).toEqual(listing('two'));
 });
 
-test('a viewer with a list of its own sees that one', () => {
+test('a listing for one viewer overrides the default', () => {
   const directory = new HostDirectory(new FakeClock(), 0);
   directory.set('', listing('for all'));
   directory.set('host-1', listing('for host-1'));
--- a/packages/stand-ins/src/test/memory-log_test.ts
+++ b/packages/stand-ins/src/test/memory-log_test.ts
@@ -9,7 +9,7 @@
   return {clock, store, log: new MemoryLog(store, clock)};
 }
 
-test('a lost answer leaves the record on the log', async () => {
+test('a record is stored although the answer to its append is lost', async () => {
   const {store, log} = newLog();
   store.faults.loseAnswers = 1;
   const error: unknown = await log
@@ -31,7 +31,7 @@
   expect(page.records.map(record => record.offset)).toEqual([1, 2]);
 });
 
-test('a waiting read ends with the next record or with its time', async () => {
+test('a long-poll read ends with the next record or at its timeout', async () => {
   const {clock, log} = newLog();
   const early = log.read('ledger-0', 0, 10, 1_000);
   await clock.advance(1_000);
--- a/packages/stand-ins/src/testing/fake-clock.ts
+++ b/packages/stand-ins/src/testing/fake-clock.ts
@@ -5,17 +5,17 @@
   readonly wake: () => void;
 }
 
-/** Lets every promise that is ready run on before time moves again. */
+/** Waits until the continuations of all settled promises have run. */
 function settlePromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-/** A clock whose time moves only when a test says so. */
+/** A clock that advances only when a test calls `advance`. */
 export class FakeClock extends Clock {
   private now = 0;
   private sleepers: Sleeper[] = [];
 
-  /** @param startedAtMilliseconds The wall clock's time at zero. */
+  /** @param startedAtMilliseconds Wall-clock time at monotonic time 0. */
   constructor(private readonly startedAtMilliseconds = 0) {
     super();
   }
@@ -44,14 +44,14 @@
     });
   }
 
-  /** How many sleeps are in progress. */
+  /** Number of sleeps in progress. */
   get sleeping(): number {
     return this.sleepers.length;
   }
 
   /**
-   * Moves time forward and wakes sleepers in the order of their time; what they
-   * do between two wake-ups is done before the next.
+   * Advances the time and ends sleeps in order of their deadlines. Promise
+   * continuations run to completion between two of them.
    *
    * @example
    * ```ts
--- a/packages/stand-ins/src/testing/fake-host-link.ts
+++ b/packages/stand-ins/src/testing/fake-host-link.ts
@@ -1,15 +1,16 @@
 import {HostLink} from '@wisteriadeal/platform';
 
-/** A link whose delay a test sets; it keeps what it is told. */
+/** A host link whose delay a test sets, and which records its calls. */
 export class FakeHostLink extends HostLink {
   override delayMilliseconds = 0;
-  /** How long that took which came, and that which did not, milliseconds. */
+  /** Durations reported by `arrived`, milliseconds. */
   readonly arrivals: number[] = [];
+  /** Durations reported by `expired`, milliseconds. */
   readonly expiries: number[] = [];
 
-  /** The largest answer that crosses in time. */
+  /** Size of the largest answer that can be transferred in time, bytes. */
   mostAnswerBytes = Infinity;
-  /** The times that it was asked for, milliseconds. */
+  /** Durations passed to `answerBytes`, milliseconds. */
   readonly answerLimits: number[] = [];
 
   override get isCongested(): boolean {
@@ -26,7 +27,7 @@
   }
 
   override connected(): void {
-    // Arrivals and expiries tell it, too.
+    // Not recorded: `arrivals` and `expiries` suffice for tests.
   }
 
   override arrived(milliseconds: number): void {
--- a/packages/stand-ins/src/testing/index.ts
+++ b/packages/stand-ins/src/testing/index.ts
@@ -1,4 +1,4 @@
-/** Fakes at the interfaces of the platform, for tests of other packages. */
+/** Fake implementations of the platform interfaces, for tests of other packages. */
 export * from './fake-clock.js';
 export * from './fake-host-link.js';
 export * from './memory-host-list.js';
--- a/packages/stand-ins/src/testing/memory-host-list.ts
+++ b/packages/stand-ins/src/testing/memory-host-list.ts
@@ -5,13 +5,13 @@
   type HostListing,
 } from '@wisteriadeal/platform';
 
-/** A host list that a test sets. */
+/** An in-memory host list with contents set by a test. */
 export class MemoryHostList extends HostList {
-  /** While true, reading fails. */
+  /** Whether reads fail. */
   outage = false;
 
   /**
-   * @param listing What `read` returns; may be replaced at any time.
+   * @param listing The listing that `read` returns; may be replaced at any time.
    * @example
    * ```ts
    * const list = new MemoryHostList({hosts: [], endpoints: []});
--- a/packages/stand-ins/src/testing/memory-log.ts
+++ b/packages/stand-ins/src/testing/memory-log.ts
@@ -7,13 +7,13 @@
   type LogRecord,
 } from '@wisteriadeal/platform';
 
-/** What goes wrong at a log; all of it can be changed while it runs. */
+/** Faults to inject into a log; they can be changed at any time. */
 export interface LogFaults {
-  /** Nothing is appended or read. */
+  /** Whether all appends and reads fail. */
   outage: boolean;
-  /** The next appends, so many, take effect but answer with an error. */
+  /** Number of subsequent appends that take effect but fail with an unknown outcome. */
   loseAnswers: number;
-  /** Each stream keeps its last records, so many; undefined keeps all. */
+  /** Number of records that each stream retains; undefined retains all. */
   retentionRecords: number | undefined;
 }
 
@@ -23,7 +23,7 @@
   readonly waiting: Set<() => void>;
 }
 
-/** The streams of an in-memory log; several clients may share them. */
+/** The streams of an in-memory log, which several clients may share. */
 export class MemoryLogStore {
   readonly faults: LogFaults = {
     outage: false,
@@ -35,7 +35,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Appends and wakes the stream's waiting readers. */
+  /** Appends a record, wakes the stream's waiting readers and returns the offset. */
   append(stream: string, payload: Uint8Array): number {
     const stored = this.stored(stream);
     const offset = stored.endOffset++;
@@ -54,7 +54,7 @@
     return offset;
   }
 
-  /** What the stream keeps from an offset on. */
+  /** Returns up to `limit` retained records of a stream from an offset on. */
   page(stream: string, fromOffset: number, limit: number): LogPage {
     const {records: kept, endOffset} = this.stored(stream);
     const firstOffset = kept[0]?.offset ?? endOffset;
@@ -66,17 +66,17 @@
     return {records, firstOffset, nextOffset, endOffset};
   }
 
-  /** Every kept record of a stream. */
+  /** Returns all retained records of a stream. */
   records(stream: string): readonly LogRecord[] {
     return this.stored(stream).records;
   }
 
-  /** The offset that the next append will get. */
+  /** Returns the offset of the next append. */
   endOffset(stream: string): number {
     return this.stored(stream).endOffset;
   }
 
-  /** Names of the streams that were used. */
+  /** Names of the streams that were read or written. */
   get streamNames(): readonly string[] {
     return [...this.streams.keys()];
   }
@@ -106,18 +106,18 @@
 }
 
 /**
- * A log client without a server, for tests of other packages.
+ * A log client for an in-memory log, for tests of other packages.
  *
  * @example
  * ```ts
  * const store = new MemoryLogStore(clock);
  * const log = new MemoryLog(store, clock);
  * store.faults.loseAnswers = 1;
- * await log.append('ledger-0', payload); // throws, and yet the record stands
+ * await log.append('ledger-0', payload); // throws although the record is stored
  * ```
  */
 export class MemoryLog extends LogClient {
-  /** Cuts this client, and no other one, from the log. */
+  /** Whether all calls of this client fail; other clients are not affected. */
   cutOff = false;
 
   constructor(
@@ -167,16 +167,16 @@
     milliseconds: number,
     signal: AbortSignal | undefined,
   ): Promise<void> {
-    const ended = new AbortController();
-    const either =
+    const waitEnded = new AbortController();
+    const waitSignal =
       signal === undefined
-        ? ended.signal
-        : AbortSignal.any([ended.signal, signal]);
+        ? waitEnded.signal
+        : AbortSignal.any([waitEnded.signal, signal]);
     await Promise.race([
-      this.store.nextAppend(stream, either),
-      this.clock.sleep(milliseconds, either),
+      this.store.nextAppend(stream, waitSignal),
+      this.clock.sleep(milliseconds, waitSignal),
     ]);
-    ended.abort();
+    waitEnded.abort();
   }
 
   private requireReachable(step: string): void {
--- a/packages/stand-ins/src/testing/memory-partitioned-log.ts
+++ b/packages/stand-ins/src/testing/memory-partitioned-log.ts
@@ -9,20 +9,23 @@
   type RecordRange,
 } from '@wisteriadeal/platform';
 
-/** What goes wrong at the log; all of it can be changed while it runs. */
+/** Faults to inject into the log; they can be changed at any time. */
 export interface PartitionedLogFaults {
-  /** Every call fails and does nothing. */
+  /** Whether all calls fail without any effect. */
   isAway: boolean;
-  /** Every call for these topics fails and does nothing. */
+  /** Topics for which all calls fail without any effect. */
   readonly awayTopics: Set<string>;
-  /** Reads of these topics never complete. */
+  /** Topics whose reads never complete. */
   readonly hangingReadTopics: Set<string>;
-  /** Every call takes effect and is answered so much later. */
+  /** Delay between a call's effect and its answer. */
   answerAfterMilliseconds: number;
-  /** The next appends, so many, take effect and answer with an unknown fate. */
+  /** Number of subsequent appends that take effect but fail with an unknown outcome. */
   loseAnswers: number;
-  /** The next appends, so many, are kept aside and answer with an unknown fate. */
-  delayAppends: number;
+  /**
+   * Number of subsequent appends that fail with an unknown outcome and take effect only
+   * at `runDelayedAppends`.
+   */
+  appendsToDelay: number;
 }
 
 interface StoredPartition {
@@ -32,7 +35,7 @@
 
 const KEY_LENGTH_BYTES = 1;
 
-/** A log in memory, shared by several users, with faults. */
+/** An in-memory partitioned log with fault injection, which several users may share. */
 export class MemoryPartitionedLog extends PartitionedLog {
   readonly faults: PartitionedLogFaults = {
     isAway: false,
@@ -40,7 +43,7 @@
     hangingReadTopics: new Set(),
     answerAfterMilliseconds: 0,
     loseAnswers: 0,
-    delayAppends: 0,
+    appendsToDelay: 0,
   };
 
   private readonly partitions = new Map<string, StoredPartition>();
@@ -54,8 +57,8 @@
     records: readonly Uint8Array[],
   ): Promise<number> {
     return this.answer('append', partition, () => {
-      if (this.faults.delayAppends > 0) {
-        this.faults.delayAppends--;
+      if (this.faults.appendsToDelay > 0) {
+        this.faults.appendsToDelay--;
         this.delayed.push({partition, records});
         throw failure('append', partition, Fate.Unknown);
       }
@@ -145,14 +148,14 @@
     // Nothing is open.
   }
 
-  /** Executes the appends that were kept aside. */
-  async runDelayed(): Promise<void> {
+  /** Executes the delayed appends. */
+  async runDelayedAppends(): Promise<void> {
     for (const {partition, records} of this.delayed.splice(0)) {
       await this.append(partition, records);
     }
   }
 
-  /** Drops all records before an offset; their offsets are not used again. */
+  /** Drops all records before an offset; the offsets are not reused. */
   dropBefore(partition: Partition, offset: number): void {
     const stored = this.stored(partition);
     stored.records = stored.records.slice(offset - stored.first);
@@ -200,5 +203,5 @@
 }
 
 function failure(step: string, partition: Partition, fate: Fate): StepError {
-  return new StepError(step, partition.topic, fate, 'fault of the stand-in');
+  return new StepError(step, partition.topic, fate, 'injected fault');
 }
--- a/packages/stand-ins/src/testing/seeded-random-source.ts
+++ b/packages/stand-ins/src/testing/seeded-random-source.ts
@@ -6,11 +6,11 @@
 const WORD_DIGITS = 8;
 const LARGEST_WORD = 0xffff_ffff;
 
-/** Randomness that repeats itself for the same seed. */
+/** Pseudo-random numbers that are reproducible for a seed. */
 export class SeededRandomSource extends RandomSource {
   private readonly generator: ReturnType<typeof xoroshiro128plus>;
 
-  /** @param seed A whole number. */
+  /** @param seed Seed of the generator, a whole number. */
   constructor(seed: number) {
     super();
     this.generator = xoroshiro128plus(seed);
@@ -29,7 +29,7 @@
   }
 
   /**
-   * A whole number from 0 (included) to `limit` (excluded).
+   * Returns a whole number from 0 (inclusive) to `limit` (exclusive).
    *
    * @example
    * ```ts
--- a/packages/stand-ins/src/token-bucket.ts
+++ b/packages/stand-ins/src/token-bucket.ts
@@ -15,9 +15,9 @@
   }
 
   /**
-   * Takes one token.
+   * Consumes one token if one is available.
    *
-   * @returns 0 where it was taken, else the milliseconds until there is one.
+   * @returns 0 if a token was consumed, else the milliseconds until one is available.
    */
   take(): number {
     const now = this.clock.monotonicMilliseconds();
