--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between the processes, records on the log and settings, as generated
- * from the schema in `proto/`.
+ * Messages between processes, log records and settings, generated from the protobuf
+ * schema in `proto/`.
  */
 export * from './generated/wisteriadeal/v1/budget_log_pb.js';
 export * from './generated/wisteriadeal/v1/configuration_pb.js';
