--- a/packages/runtime/src/test/line-writer_test.ts
+++ b/packages/runtime/src/test/line-writer_test.ts
@@ -169,26 +169,26 @@
   });
 });
 
-describe('LineBudget', () => {
+describe('LineRateLimiter', () => {
   it('writes a sample of a burst and counts the rest', () => {
     // An organisation without budget sends 2,000 requests per second to one host.
-    const budget = new LineRateLimiter({perSecond: 100, burst: 200});
+    const limiter = new LineRateLimiter({perSecond: 100, burst: 200});
     let written = 0;
     for (let line = 0; line < 10_000; line++) {
-      written += budget.tryAcquire('refused', line / 2) ? 1 : 0;
+      written += limiter.tryAcquire('refused', line / 2) ? 1 : 0;
     }
     expect(written).toBeGreaterThan(600);
     expect(written).toBeLessThan(800);
-    expect(budget.consumeSuppressedCounts()).toEqual([
+    expect(limiter.consumeSuppressedCounts()).toEqual([
       {event: 'refused', lines: 10_000 - written},
     ]);
-    expect(budget.consumeSuppressedCounts()).toEqual([]);
+    expect(limiter.consumeSuppressedCounts()).toEqual([]);
   });
 
   it('limits each event separately', () => {
-    const budget = new LineRateLimiter({perSecond: 1, burst: 1});
-    expect(budget.tryAcquire('refused', 0)).toBe(true);
-    expect(budget.tryAcquire('refused', 0)).toBe(false);
-    expect(budget.tryAcquire('store lost', 0)).toBe(true);
+    const limiter = new LineRateLimiter({perSecond: 1, burst: 1});
+    expect(limiter.tryAcquire('refused', 0)).toBe(true);
+    expect(limiter.tryAcquire('refused', 0)).toBe(false);
+    expect(limiter.tryAcquire('store lost', 0)).toBe(true);
   });
 });
--- a/packages/stand-ins/src/engine-attempt.ts
+++ b/packages/stand-ins/src/engine-attempt.ts
@@ -67,11 +67,11 @@
     if (!this.finished) {
       return undefined;
     }
-    return this.work.completion.cutByMaximum ? 'length' : 'stop';
+    return this.work.completion.isLimitedByMaximum ? 'length' : 'stop';
   }
 
   /** Subscribes to changes. Returns a function that unsubscribes. */
-  listen(listener: () => void): () => void {
+  subscribe(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
--- a/packages/stand-ins/src/engine-stream-writer.ts
+++ b/packages/stand-ins/src/engine-stream-writer.ts
@@ -16,7 +16,7 @@
 /** Streams an attempt's tokens as server-sent events while they are generated. */
 export class EngineStreamWriter {
   private next: number;
-  private stopListening: () => void = () => undefined;
+  private unsubscribe: () => void = () => undefined;
 
   constructor(
     private readonly attempt: EngineAttempt,
@@ -36,11 +36,11 @@
       'x-attempt-id': attemptId,
     });
     this.response.flushHeaders();
-    this.stopListening = this.attempt.listen(() => {
+    this.unsubscribe = this.attempt.subscribe(() => {
       this.writeNew();
     });
     this.response.once('close', () => {
-      this.stopListening();
+      this.unsubscribe();
     });
     this.writeNew();
   }
@@ -49,14 +49,14 @@
     const {tokens} = this.attempt;
     for (; this.next < tokens.length; this.next++) {
       if (this.next === this.fault.truncateAfter) {
-        this.stopListening();
+        this.unsubscribe();
         this.response.destroy();
         return;
       }
       this.response.write(this.tokenEvent(this.next, tokens[this.next] ?? ''));
     }
     if (this.attempt.finished) {
-      this.stopListening();
+      this.unsubscribe();
       this.response.end(this.endEvents());
     }
   }
--- a/packages/stand-ins/src/expected-completion.ts
+++ b/packages/stand-ins/src/expected-completion.ts
@@ -13,7 +13,7 @@
   readonly promptTokens: number;
   readonly completionTokens: number;
   /** Whether the maximum, not the prompt, limited the answer's length. */
-  readonly cutByMaximum: boolean;
+  readonly isLimitedByMaximum: boolean;
 }
 
 /** Counts a prompt's tokens, which for the stand-in are its words. */
@@ -68,6 +68,6 @@
     text: tokens.join(''),
     promptTokens: countPromptTokens(messages),
     completionTokens: length,
-    cutByMaximum: requested > maximumTokens,
+    isLimitedByMaximum: requested > maximumTokens,
   };
 }
