--- a/packages/stand-ins/src/engine-stream-writer.ts
+++ b/packages/stand-ins/src/engine-stream-writer.ts
@@ -2,9 +2,9 @@
 
 import type {EngineAttempt} from './engine-attempt.js';
 
-/** What goes wrong with one stream. */
+/** Fault to inject into a stream. */
 export interface StreamFault {
-  /** The connection ends after this many tokens. */
+  /** Number of tokens after which the connection is closed; undefined for no fault. */
   readonly truncateAfter: number | undefined;
 }
 
@@ -13,10 +13,10 @@
   return `${id}data: ${JSON.stringify(data)}\n\n`;
 }
 
-/** Writes an attempt's tokens as server-sent events while they are made. */
+/** Streams an attempt's tokens as server-sent events while they are generated. */
 export class EngineStreamWriter {
   private next: number;
-  private stopListening: () => void = () => undefined;
+  private unsubscribe: () => void = () => undefined;
 
   constructor(
     private readonly attempt: EngineAttempt,
@@ -27,7 +27,7 @@
     this.next = afterIndex + 1;
   }
 
-  /** Writes the head and what there is, and goes on with what comes. */
+  /** Writes the response headers and existing tokens, then each new token. */
   start(): void {
     const {attemptId} = this.attempt.work;
     this.response.writeHead(200, {
@@ -36,11 +36,11 @@
       'x-attempt-id': attemptId,
     });
     this.response.flushHeaders();
-    this.stopListening = this.attempt.listen(() => {
+    this.unsubscribe = this.attempt.subscribe(() => {
       this.writeNew();
     });
     this.response.once('close', () => {
-      this.stopListening();
+      this.unsubscribe();
     });
     this.writeNew();
   }
@@ -49,14 +49,14 @@
     const {tokens} = this.attempt;
     for (; this.next < tokens.length; this.next++) {
       if (this.next === this.fault.truncateAfter) {
-        this.stopListening();
+        this.unsubscribe();
         this.response.destroy();
         return;
       }
       this.response.write(this.tokenEvent(this.next, tokens[this.next] ?? ''));
     }
     if (this.attempt.finished) {
-      this.stopListening();
+      this.unsubscribe();
       this.response.end(this.endEvents());
     }
   }
