--- a/packages/router/src/answer-store.ts
+++ b/packages/router/src/answer-store.ts
@@ -2,67 +2,68 @@
 
 import type {Answer} from './answer.js';
 
-interface Kept {
+interface StoredAnswer {
   readonly answer: Answer;
-  /** On the monotonic clock; undefined while the request runs. */
+  /** Monotonic time in milliseconds; undefined while the request runs. */
   endedAt: number | undefined;
 }
 
 /**
- * Running answers, and ended ones for callers that come back.
+ * Stores the answers of running requests, and ended answers for retries.
  *
  * Callers retry within seconds, so ended answers are kept for the configured
- * time; a burst of long answers must not take the process's memory, so the
- * oldest are dropped beyond the limit in bytes. A dropped answer costs its caller
- * the text ("answer-gone"), never a second run or bill.
+ * time. To bound memory in a burst of long answers, the oldest ended answers are
+ * dropped once their total size exceeds the byte limit. A retry of a dropped
+ * answer gets `answer-gone`; it never causes a second run or bill.
  */
 export class AnswerStore {
-  private readonly kept = new Map<string, Kept>();
+  private readonly stored = new Map<string, StoredAnswer>();
   private endedBytes = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly maximumBytes: number,
-    private readonly maximumAge: () => number,
+    private readonly maximumAgeMilliseconds: () => number,
   ) {}
 
-  /** Number of requests that run. */
+  /** Number of running requests. */
   get running(): number {
-    return [...this.kept.values()].filter(({endedAt}) => endedAt === undefined)
-      .length;
+    return [...this.stored.values()].filter(
+      ({endedAt}) => endedAt === undefined,
+    ).length;
   }
 
-  /** Readers that have not read to their end. */
+  /** Number of readers attached to stored answers. */
   get readers(): number {
     return this.answers().reduce((sum, answer) => sum + answer.readerCount, 0);
   }
 
-  /** Bytes of ended answers. */
+  /** Total size of the ended answers in bytes. */
   get bytes(): number {
     return this.endedBytes;
   }
 
-  /** All answers, running and kept. */
+  /** All stored answers, running and ended. */
   answers(): readonly Answer[] {
-    return [...this.kept.values()].map(({answer}) => answer);
+    return [...this.stored.values()].map(({answer}) => answer);
   }
 
-  /** Finds an answer. */
+  /** Finds the answer of a request. */
   find(requestId: string): Answer | undefined {
     this.dropExpired();
-    return this.kept.get(requestId)?.answer;
+    return this.stored.get(requestId)?.answer;
   }
 
-  /** Adds the answer of a request that starts. */
+  /** Adds the answer of a request that is starting. */
   add(answer: Answer): void {
-    this.kept.set(answer.options.requestId, {answer, endedAt: undefined});
+    this.stored.set(answer.options.requestId, {answer, endedAt: undefined});
   }
 
-  /** The request has ended; keep its answer for a while. */
-  keep(answer: Answer): void {
+  /** Keeps the answer of an ended request up to the age and byte limits. */
+  markEnded(answer: Answer): void {
     const {requestId} = answer.options;
-    this.kept.delete(requestId);
-    this.kept.set(requestId, {
+    this.stored.delete(requestId);
+    this.stored.set(requestId, {
       answer,
       endedAt: this.clock.monotonicMilliseconds(),
     });
@@ -70,24 +71,25 @@
     this.dropExpired();
   }
 
-  /** The request never ran: a retry starts afresh. */
-  forget(answer: Answer): void {
+  /** Removes the answer of a request that did not run, so a retry can run. */
+  remove(answer: Answer): void {
     const {requestId} = answer.options;
-    if (this.kept.get(requestId)?.answer === answer) {
-      this.kept.delete(requestId);
+    if (this.stored.get(requestId)?.answer === answer) {
+      this.stored.delete(requestId);
     }
   }
 
   private dropExpired(): void {
-    const oldest = this.clock.monotonicMilliseconds() - this.maximumAge();
-    for (const [requestId, {answer, endedAt}] of this.kept) {
+    const expiryThreshold =
+      this.clock.monotonicMilliseconds() - this.maximumAgeMilliseconds();
+    for (const [requestId, {answer, endedAt}] of this.stored) {
       if (endedAt === undefined) {
         continue;
       }
-      if (endedAt > oldest && this.endedBytes <= this.maximumBytes) {
+      if (endedAt > expiryThreshold && this.endedBytes <= this.maximumBytes) {
         return;
       }
-      this.kept.delete(requestId);
+      this.stored.delete(requestId);
       this.endedBytes -= answer.bytes;
     }
   }
--- a/packages/router/src/answer-writer.ts
+++ b/packages/router/src/answer-writer.ts
@@ -8,7 +8,10 @@
 const REQUEST_HEADER = 'X-Request-Id';
 const OUTCOME_HEADER = 'X-Outcome';
 
-/** Writes a problem as the whole response, if none has begun. */
+/**
+ * Writes a problem as the response; destroys the connection if a response has
+ * already begun.
+ */
 export function writeProblem(response: ServerResponse, problem: Problem): void {
   if (response.headersSent) {
     response.destroy();
@@ -16,9 +19,9 @@
   }
   const {requestId} = problem.details;
   const retryAfter = problem.retryAfterSeconds;
-  if (CLOSING.has(problem.problem)) {
-    // Whatever else the caller sends on this connection can't be told apart
-    // from the rest of the request that was refused.
+  if (CONNECTION_CLOSING_PROBLEMS.has(problem.problem)) {
+    // Further bytes on this connection can't be distinguished from the rest of
+    // the refused request.
     response.setHeader('Connection', 'close');
   }
   if (requestId !== undefined) {
@@ -34,7 +37,7 @@
   response.end(JSON.stringify(problem));
 }
 
-const CLOSING: ReadonlySet<ProblemName> = new Set([
+const CONNECTION_CLOSING_PROBLEMS: ReadonlySet<ProblemName> = new Set([
   ProblemName.BodyTooLarge,
   ProblemName.RequestTimeout,
   ProblemName.Draining,
@@ -56,7 +59,7 @@
   }
 }
 
-/** Ends a stream: the end mark only after a whole answer. */
+/** Ends a stream; writes the `[DONE]` mark only after a complete answer. */
 function endStream(answer: Answer, response: ServerResponse): void {
   const problem = problemOf(answer);
   const outcome = problem?.outcome ?? AnswerOutcome.Answered;
@@ -70,10 +73,10 @@
 
 /**
  * Writes a completion as server-sent events, each with its index as `id`. The
- * head waits for the first event, so that whatever ends the request before it
- * gets its own status.
+ * response head is sent with the first event, so that a problem before it can
+ * still set the status code.
  *
- * @param lastEvent Events up to and with this one are left out.
+ * @param lastEvent Index of the last event to skip; -1 to skip none.
  */
 export async function writeStream(
   answer: Answer,
@@ -81,7 +84,7 @@
   lastEvent: number,
   signal: AbortSignal,
 ): Promise<void> {
-  await answer.more(lastEvent + 1, signal);
+  await answer.waitForEvent(lastEvent + 1, signal);
   const problem = problemOf(answer);
   if (problem !== undefined && answer.events.length <= lastEvent + 1) {
     writeProblem(response, problem);
@@ -102,14 +105,14 @@
   }
 }
 
-/** Waits for the end and writes the answer as one body. */
+/** Waits for the end of the answer and writes it as one body. */
 async function writeWhole(
   answer: Answer,
   response: ServerResponse,
   signal: AbortSignal,
   body: () => {contentType: string; status: number; bytes: Uint8Array},
 ): Promise<void> {
-  await answer.more(Number.POSITIVE_INFINITY, signal);
+  await answer.waitForEvent(Number.POSITIVE_INFINITY, signal);
   if (signal.aborted) {
     return;
   }
@@ -142,7 +145,7 @@
   }));
 }
 
-/** Writes a plain service's answer as it came. */
+/** Writes a plain service's answer unchanged. */
 export function writePlain(
   answer: Answer,
   response: ServerResponse,
--- a/packages/router/src/answer.ts
+++ b/packages/router/src/answer.ts
@@ -1,21 +1,21 @@
 import type {CallerIdentity} from './identity.js';
 import {ProblemName, type Problem} from './problem.js';
-import {LifeKind, type Life} from './request-life.js';
+import {Phase, type RequestState} from './request-state.js';
 
-/** The first line of an answer. */
+/** HTTP status and content type of an answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly contentType: string;
 }
 
-/** One event of a stream, or the whole body of a plain answer. */
+/** One event of a stream, or the complete body of a plain answer. */
 export interface AnswerEvent {
   /** Counts from 0 within the answer. */
   readonly index: number;
   readonly data: Uint8Array;
 }
 
-/** How an answer ended: whole, or with a problem. */
+/** How an answer ended: complete, or with a problem. */
 export type AnswerEnd = {readonly whole: true} | {readonly problem: Problem};
 
 const RUN_PROBLEMS: ReadonlySet<ProblemName> = new Set([
@@ -23,42 +23,45 @@
   ProblemName.OutcomeUnknown,
 ]);
 
-/** What is fixed about an answer when its request arrives. */
+/** Properties of an answer that are fixed when its request arrives. */
 export interface AnswerOptions extends CallerIdentity {
   readonly requestId: string;
   /** SHA-256 of the request's content. */
   readonly fingerprint: string;
-  /** Wall clock in seconds, for the caller's eyes. */
+  /** Wall-clock time in seconds, reported to the caller. */
   readonly createdSeconds: number;
 }
 
 /**
- * The answer of one request while it grows and for as long as it is kept.
- * Readers may come and go; each gets every event from where it asks, once and in
- * order.
+ * The answer of one request, while it is produced and for as long as it is kept.
+ * Readers can attach and detach at any time; each receives every event after its
+ * starting position, once and in order.
  */
 export class Answer {
   head: AnswerHead | undefined;
   end: AnswerEnd | undefined;
   bytes = 0;
-  /** The request ran: its retries get this answer instead of a run. */
-  keep = false;
-  /** States that its request went through, for an operator's question. */
-  readonly history: LifeKind[] = [LifeKind.Received];
+  /** Whether the request ran, so that retries get this answer and don't run. */
+  shouldKeep = false;
+  /** States that the request went through, for inspection. */
+  readonly history: Phase[] = [Phase.Received];
   readonly events: AnswerEvent[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
   private readers = 0;
   private readonly abandonment = new AbortController();
 
   constructor(readonly options: AnswerOptions) {}
 
-  /** Aborted when nobody reads the answer any more. */
+  /** Aborted when the answer has had no reader for the reconnect grace time. */
   get abandoned(): AbortSignal {
     return this.abandonment.signal;
   }
 
-  /** It ended, and what it says is of a run, so it can serve a retry. */
-  get tellsOfRun(): boolean {
+  /**
+   * Whether the answer ended and reports a run: complete, failed after running or
+   * unknown. Only such an answer can serve a retry.
+   */
+  get endedAfterRun(): boolean {
     const {end} = this;
     return (
       end !== undefined &&
@@ -66,18 +69,18 @@
     );
   }
 
-  /** Number of readers now. */
+  /** Current number of readers. */
   get readerCount(): number {
     return this.readers;
   }
 
-  /** Notes the state of its request. */
-  note(life: Life): void {
-    this.history.push(life.kind);
+  /** Appends a state to the history of the request. */
+  recordState(state: RequestState): void {
+    this.history.push(state.kind);
   }
 
-  /** Sets the head. */
-  begin(head: AnswerHead): void {
+  /** Sets the head; later calls have no effect. */
+  setHead(head: AnswerHead): void {
     this.head ??= head;
     this.notify();
   }
@@ -89,14 +92,18 @@
     this.notify();
   }
 
-  /** Ends the answer; the first end counts. */
+  /** Ends the answer; later calls have no effect. */
   finish(end: AnswerEnd): void {
     this.end ??= end;
     this.notify();
   }
 
-  /** Counts a reader in; the function returned counts it out. */
-  attach(onLastLeft: () => void): () => void {
+  /**
+   * Registers a reader; the returned function removes it.
+   *
+   * @param onLastReaderGone Called if the last reader leaves before the end.
+   */
+  addReader(onLastReaderGone: () => void): () => void {
     this.readers++;
     let attached = true;
     return () => {
@@ -106,18 +113,18 @@
       attached = false;
       this.readers--;
       if (this.readers === 0 && this.end === undefined) {
-        onLastLeft();
+        onLastReaderGone();
       }
     };
   }
 
-  /** Nobody came back: the work may be cancelled. */
+  /** Aborts `abandoned`: no reader returned, so the work can be cancelled. */
   abandon(): void {
     this.abandonment.abort();
   }
 
-  /** Resolves when there is more than `index` events, or an end. */
-  async more(nextIndex: number, signal?: AbortSignal): Promise<void> {
+  /** Waits until event `nextIndex` exists, the answer ends or `signal` aborts. */
+  async waitForEvent(nextIndex: number, signal?: AbortSignal): Promise<void> {
     while (
       this.end === undefined &&
       this.events.length <= nextIndex &&
@@ -125,23 +132,23 @@
     ) {
       await new Promise<void>(resolve => {
         const wake = () => {
-          this.waiting.delete(wake);
+          this.waiters.delete(wake);
           signal?.removeEventListener('abort', wake);
           resolve();
         };
-        this.waiting.add(wake);
+        this.waiters.add(wake);
         signal?.addEventListener('abort', wake, {once: true});
       });
     }
   }
 
-  /** Events after `lastSeen`, until the answer ends or the signal is aborted. */
+  /** Yields the events after `lastSeen` until the answer ends or `signal` aborts. */
   async *read(
     lastSeen: number,
     signal?: AbortSignal,
   ): AsyncGenerator<AnswerEvent, void> {
     for (let next = lastSeen + 1; ; next++) {
-      await this.more(next, signal);
+      await this.waitForEvent(next, signal);
       const event = this.events[next];
       if (event === undefined || signal?.aborted === true) {
         return;
@@ -151,7 +158,7 @@
   }
 
   private notify(): void {
-    for (const wake of [...this.waiting]) {
+    for (const wake of [...this.waiters]) {
       wake();
     }
   }
--- a/packages/router/src/attach-service.ts
+++ b/packages/router/src/attach-service.ts
@@ -40,7 +40,7 @@
     : {kind: {case: 'end', value: {}}};
 }
 
-/** Serves this router's answers to the other routers. */
+/** Implements the service from which other routers copy this router's answers. */
 export function attachService(
   requests: RequestService,
 ): ServiceImpl<typeof RouterService> {
@@ -50,17 +50,17 @@
       if (answer === undefined) {
         yield problemMessage(
           new Problem(ProblemName.UnknownRequest, {
-            detail: 'this router knows nothing of the request',
+            detail: 'this router does not know the request',
             requestId: request.requestId,
           }),
         );
         return;
       }
-      const leave = requests.attach(answer);
+      const removeReader = requests.addReader(answer);
       try {
         yield* messagesOf(answer, request.lastEvent, context.signal);
       } finally {
-        leave();
+        removeReader();
       }
     },
   };
--- a/packages/router/src/bound.ts
+++ b/packages/router/src/bound.ts
@@ -3,16 +3,16 @@
 
 /**
  * Tokens that an engine's chat template adds for each message (its role and
- * separators) and once for the start of the answer. Four and eight cover the
- * templates in common use; an engine that counts more is not charged beyond the
- * bound.
+ * separators) and once per prompt for the start of the answer. Four and eight
+ * cover the templates in common use. If an engine counts more, the charge is
+ * still limited to the bound.
  */
 export const TEMPLATE_TOKENS_PER_MESSAGE = 4;
 export const TEMPLATE_TOKENS_PER_PROMPT = 8;
 
 /**
- * The most prompt tokens that messages can have: each token covers at least
- * `minimumBytesPerPromptToken` bytes.
+ * Computes the maximum number of prompt tokens of the messages: each token covers
+ * at least `minimumBytesPerPromptToken` bytes.
  */
 export function promptBound(
   messages: readonly ChatMessage[],
@@ -32,7 +32,8 @@
 }
 
 /**
- * The most that a completion can cost: what is reserved before dispatch.
+ * Computes the maximum number of tokens that a completion can cost. This number
+ * is reserved before dispatch.
  *
  * @example
  * ```ts
@@ -48,8 +49,9 @@
 }
 
 /**
- * What is charged. Usage beyond the bound was never reserved, so it is not
- * charged: charging it could take an organisation past its budget.
+ * Computes the tokens to charge: the usage, limited to the bound. Usage beyond
+ * the bound was never reserved, and charging it could exceed the organisation's
+ * budget.
  */
 export function charge(usedTokens: number, bound: number): number {
   return Math.min(Math.max(0, Math.ceil(usedTokens)), bound);
--- a/packages/router/src/caller-connections.ts
+++ b/packages/router/src/caller-connections.ts
@@ -8,7 +8,7 @@
   ERR_HTTP_REQUEST_TIMEOUT: ProblemName.RequestTimeout,
 };
 
-/** Answers what never became a request. */
+/** Answers a connection whose bytes could not be parsed as a request. */
 export function refuseConnection(
   error: NodeJS.ErrnoException,
   socket: Socket,
@@ -36,44 +36,48 @@
 }
 
 /**
- * Connections whose first request has not come yet.
+ * Tracks connections that have not yet delivered their first request.
  *
- * Node.js looks for slow headers every thirty seconds only, so each gets its own
- * timer and a trickle is refused in time. Node.js does not count them as idle
- * either: a balancer's spare connection would hold up a graceful stop until that
- * timer, so the stop ends them itself. Nothing was read from them.
+ * Node.js checks for slow headers only every 30 seconds, so each connection has
+ * its own timer and slow headers are refused in time. Node.js does not count
+ * these connections as idle either: a load balancer's unused connection would
+ * delay a graceful shutdown until that timer, so the shutdown destroys them. No
+ * request was read from them, so none is lost.
  */
-export class SilentConnections {
+export class NewConnections {
   private readonly timers = new Map<Socket, NodeJS.Timeout>();
 
   constructor(http: Server, timeoutMilliseconds: number) {
     http.on('connection', (socket: Socket) => {
       const timer = setTimeout(() => {
         refuseConnection(
-          Object.assign(new Error('the headers took too long'), {
-            code: 'ERR_HTTP_REQUEST_TIMEOUT',
-          }),
+          Object.assign(
+            new Error('the request headers were not received in time'),
+            {
+              code: 'ERR_HTTP_REQUEST_TIMEOUT',
+            },
+          ),
           socket,
         );
       }, timeoutMilliseconds);
       this.timers.set(socket, timer);
       socket.once('close', () => {
-        this.forget(socket);
+        this.remove(socket);
       });
     });
     http.on('request', (request: IncomingMessage) => {
-      this.forget(request.socket);
+      this.remove(request.socket);
     });
   }
 
-  /** Ends all of them. */
+  /** Destroys all tracked connections. */
   destroyAll(): void {
     for (const socket of this.timers.keys()) {
       socket.destroy();
     }
   }
 
-  private forget(socket: Socket): void {
+  private remove(socket: Socket): void {
     clearTimeout(this.timers.get(socket));
     this.timers.delete(socket);
   }
--- a/packages/router/src/caller-routes.ts
+++ b/packages/router/src/caller-routes.ts
@@ -12,35 +12,38 @@
 } from './answer-writer.js';
 import type {CallerHandler, CallerRoute} from './caller-server.js';
 import {Credentials, type AuthenticatedCaller} from './credentials.js';
-import {mintKey, type MintedKey} from './identity.js';
+import {mintKey, type MintedKeyOwner} from './identity.js';
 import {Problem, ProblemName} from './problem.js';
 import {readBody} from './request-body.js';
 import type {RequestLocator} from './request-locator.js';
 import type {RequestService} from './request-service.js';
 import type {IncomingWork, SubmissionReader} from './submission-reader.js';
 
-/** What the routes need of their router. */
-export interface RouteParts {
+/** Dependencies of the routes. */
+export interface RouteDependencies {
   readonly requests: RequestService;
   readonly locator: RequestLocator;
   readonly reader: SubmissionReader;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly configuration: () => Configuration | undefined;
-  readonly identity: () => MintedKey;
+  readonly identity: () => MintedKeyOwner;
   readonly ready: () => boolean;
 }
 
-/** Used until a configuration, or where it sets none. */
+/** Defaults for limits that the configuration does not set. */
 const DEFAULT_BODY_BYTES = 1_048_576;
 const DEFAULT_RECEIVE_MILLISECONDS = 10_000;
 
-const NOT_CONFIGURED_RETRY_MILLISECONDS = 1_000;
+const NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** Keys are for people and programs to store; the IETF draft sets no limit. */
+/**
+ * Limits keys to a length that people and programs can store; the IETF draft of
+ * the Idempotency-Key header sets no limit.
+ */
 const MAXIMUM_KEY_CHARACTERS = 255;
 
-function positive(value: number | undefined, fallback: number): number {
+function orDefault(value: number | undefined, fallback: number): number {
   return value === undefined || value === 0 ? fallback : value;
 }
 
@@ -56,20 +59,20 @@
   }
   if (!/^\d{1,9}$/.test(text)) {
     throw new Problem(ProblemName.MalformedRequest, {
-      detail: 'Last-Event-ID must be the id of an event',
+      detail: 'Last-Event-ID must be an event id of 1 to 9 digits',
     });
   }
   return Number(text);
 }
 
-function keyOf(request: IncomingMessage): string | undefined {
+function idempotencyKeyOf(request: IncomingMessage): string | undefined {
   const key = header(request, 'idempotency-key');
   if (
     key !== undefined &&
     (key === '' || key.length > MAXIMUM_KEY_CHARACTERS)
   ) {
     throw new Problem(ProblemName.MalformedRequest, {
-      detail: `an Idempotency-Key has 1 to ${MAXIMUM_KEY_CHARACTERS} characters`,
+      detail: `Idempotency-Key must have 1 to ${MAXIMUM_KEY_CHARACTERS} characters`,
     });
   }
   return key;
@@ -78,11 +81,11 @@
 /** The routes of the callers' interface. */
 export class CallerRoutes {
   private credentials: Credentials | undefined;
-  private credentialsOf: Configuration | undefined;
+  private credentialsConfiguration: Configuration | undefined;
 
-  constructor(private readonly parts: RouteParts) {}
+  constructor(private readonly dependencies: RouteDependencies) {}
 
-  /** All routes. */
+  /** Returns all routes. */
   routes(): readonly CallerRoute[] {
     const call: CallerHandler = (request, response) =>
       this.plainCall(request, response);
@@ -124,12 +127,12 @@
     request: Request,
     response: ServerResponse,
   ): Promise<void> {
-    const {incoming, configuration} = await this.receive(request);
-    const {submission, chat} = this.parts.reader.readChat(
+    const {incoming, configuration} = await this.readIncoming(request);
+    const {submission, chat} = this.dependencies.reader.readChat(
       incoming,
       configuration,
     );
-    const answer = await this.parts.locator.submit(submission);
+    const answer = await this.dependencies.locator.submit(submission);
     await this.serve(answer, response, signal =>
       chat.stream
         ? writeStream(answer, response, submission.lastEvent, signal)
@@ -141,10 +144,10 @@
     request: Request,
     response: ServerResponse,
   ): Promise<void> {
-    const {incoming, configuration} = await this.receive(request);
+    const {incoming, configuration} = await this.readIncoming(request);
     const parameters = request.params as {service: string; call: string};
     const query = request.getQuery();
-    const submission = this.parts.reader.readCall(
+    const submission = this.dependencies.reader.readCall(
       {
         ...incoming,
         service: parameters.service,
@@ -155,7 +158,7 @@
       },
       configuration,
     );
-    const answer = await this.parts.locator.submit(submission);
+    const answer = await this.dependencies.locator.submit(submission);
     await this.serve(answer, response, signal =>
       writePlain(answer, response, signal),
     );
@@ -172,7 +175,7 @@
       organisation: caller.organisation.name,
       caller: caller.caller,
     };
-    const answer = await this.parts.locator.find(identity, requestId);
+    const answer = await this.dependencies.locator.find(identity, requestId);
     await this.serve(answer, response, signal =>
       writeStream(answer, response, lastEvent, signal),
     );
@@ -180,34 +183,39 @@
 
   private mint(request: Request, response: ServerResponse): Promise<void> {
     this.authenticate(request);
-    const key = mintKey(this.parts.identity(), this.parts.random);
+    const key = mintKey(this.dependencies.identity(), this.dependencies.random);
     response.writeHead(201, {'Content-Type': 'application/json'});
     response.end(JSON.stringify({key}));
     return Promise.resolve();
   }
 
   private ready(response: ServerResponse): Promise<void> {
-    const ready = this.parts.ready();
+    const ready = this.dependencies.ready();
     response.statusCode = ready ? 200 : 503;
     response.end(ready ? 'ready\n' : 'not ready\n');
     return Promise.resolve();
   }
 
-  /** Checks the credential before anything of the body is read. */
+  /**
+   * Authenticates the caller; called before any of the body is read.
+   *
+   * @throws Problem `unauthorised` for a missing or unknown credential;
+   *     `unavailable` if the router has no configuration yet.
+   */
   private authenticate(request: IncomingMessage): {
     readonly caller: AuthenticatedCaller;
     readonly configuration: Configuration;
   } {
-    const configuration = this.parts.configuration();
+    const configuration = this.dependencies.configuration();
     if (configuration === undefined) {
       throw new Problem(ProblemName.Unavailable, {
-        detail: 'no configuration has been heard of yet',
+        detail: 'the router has not received a configuration yet',
         step: 'learn the configuration',
-        retryAfterMilliseconds: NOT_CONFIGURED_RETRY_MILLISECONDS,
+        retryAfterMilliseconds: NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS,
       });
     }
-    if (this.credentialsOf !== configuration) {
-      this.credentialsOf = configuration;
+    if (this.credentialsConfiguration !== configuration) {
+      this.credentialsConfiguration = configuration;
       this.credentials = new Credentials(configuration);
     }
     const caller = this.credentials?.authenticate(
@@ -221,15 +229,15 @@
     return {caller, configuration};
   }
 
-  private async receive(request: IncomingMessage): Promise<{
+  private async readIncoming(request: IncomingMessage): Promise<{
     readonly incoming: IncomingWork;
     readonly configuration: Configuration;
   }> {
     const {caller, configuration} = this.authenticate(request);
     const limits = configuration.limits;
     const body = await readBody(request, {
-      maximumBytes: positive(limits?.maximumBodyBytes, DEFAULT_BODY_BYTES),
-      timeoutMilliseconds: positive(
+      maximumBytes: orDefault(limits?.maximumBodyBytes, DEFAULT_BODY_BYTES),
+      timeoutMilliseconds: orDefault(
         limits?.requestReceiveTimeoutMilliseconds,
         DEFAULT_RECEIVE_MILLISECONDS,
       ),
@@ -237,39 +245,39 @@
     const incoming = {
       caller,
       body,
-      idempotencyKey: keyOf(request),
+      idempotencyKey: idempotencyKeyOf(request),
       lastEvent: lastEventOf(request),
     };
     return {incoming, configuration};
   }
 
-  /** Counts the caller as a reader for as long as its connection lasts. */
+  /** Writes an answer; the caller is a reader until its connection closes. */
   private async serve(
     answer: Answer,
     response: ServerResponse,
     write: (signal: AbortSignal) => Promise<void>,
   ): Promise<void> {
-    const gone = new AbortController();
-    const leave = this.parts.requests.attach(answer);
-    const end = () => {
-      gone.abort();
-      leave();
+    const closed = new AbortController();
+    const removeReader = this.dependencies.requests.addReader(answer);
+    const handleClose = () => {
+      closed.abort();
+      removeReader();
     };
-    response.once('close', end);
-    // A caller that left before this has no close to come.
+    response.once('close', handleClose);
+    // If the caller has already disconnected, no close event will follow.
     if (response.destroyed || response.socket?.destroyed === true) {
-      end();
+      handleClose();
     }
     try {
-      await write(gone.signal);
+      await write(closed.signal);
     } catch (error) {
-      if (!gone.signal.aborted) {
+      if (!closed.signal.aborted) {
         writeProblem(
           response,
           error instanceof Problem
             ? error
             : new Problem(ProblemName.OutcomeUnknown, {
-                detail: 'an error inside the router',
+                detail: 'internal error in the router',
               }),
         );
       }
--- a/packages/router/src/caller-server.ts
+++ b/packages/router/src/caller-server.ts
@@ -3,10 +3,10 @@
 import {createServer, type Request, type Server} from 'restify';
 
 import {writeProblem} from './answer-writer.js';
-import {refuseConnection, SilentConnections} from './caller-connections.js';
+import {refuseConnection, NewConnections} from './caller-connections.js';
 import {Problem, ProblemName} from './problem.js';
 
-/** What a route does with a request. */
+/** Handles a request of a route. */
 export type CallerHandler = (
   request: Request,
   response: ServerResponse,
@@ -20,37 +20,38 @@
 }
 
 /**
- * Headers that are not whole by then end the connection. Callers' headers are a
- * few hundred bytes; a connection that trickles them holds a slot for nothing.
+ * Time within which a request's headers must be complete. Callers' headers are a
+ * few hundred bytes; a connection that sends them slowly occupies a slot without
+ * any use.
  */
 const HEADERS_TIMEOUT_MILLISECONDS = 5_000;
 const MAXIMUM_HEADERS = 100;
 
-/** Longer than the balancers' usual idle time, so that they close first. */
+/** Longer than the usual idle timeout of load balancers, so they close first. */
 const KEEP_ALIVE_MILLISECONDS = 65_000;
 
-function asProblem(error: unknown): Problem {
+function toProblem(error: unknown): Problem {
   return error instanceof Problem
     ? error
     : new Problem(ProblemName.OutcomeUnknown, {
-        detail: 'an error inside the router',
+        detail: 'internal error in the router',
       });
 }
 
-/** The HTTP server that callers talk to. */
+/** The HTTP server of the callers' interface. */
 export class CallerServer {
   private constructor(
     private readonly server: Server,
-    private readonly silent: SilentConnections,
+    private readonly newConnections: NewConnections,
     /** `IP:port`. */
     readonly address: string,
   ) {}
 
   /**
-   * Listens and serves.
+   * Starts the server.
    *
-   * @param port 0 takes a free port.
-   * @throws The system's error where the address can't be taken.
+   * @param port 0 selects a free port.
+   * @throws The system's error if the server can't listen on the address.
    */
   static async listen(
     address: string,
@@ -64,9 +65,12 @@
     http.keepAliveTimeout = KEEP_ALIVE_MILLISECONDS;
     http.maxHeadersCount = MAXIMUM_HEADERS;
     http.on('clientError', refuseConnection);
-    const silent = new SilentConnections(http, HEADERS_TIMEOUT_MILLISECONDS);
+    const newConnections = new NewConnections(
+      http,
+      HEADERS_TIMEOUT_MILLISECONDS,
+    );
     for (const route of routes) {
-      server[route.method](route.path, handle(route.handler));
+      server[route.method](route.path, createRestifyHandler(route.handler));
     }
     server.on('restifyError', answerUnrouted);
     await new Promise<void>((resolve, reject) => {
@@ -76,11 +80,11 @@
         resolve();
       });
     });
-    const bound = (http.address() as AddressInfo).port;
-    return new CallerServer(server, silent, `${address}:${bound}`);
+    const boundPort = (http.address() as AddressInfo).port;
+    return new CallerServer(server, newConnections, `${address}:${boundPort}`);
   }
 
-  /** Stops listening; responses in progress end undisturbed. */
+  /** Stops listening and waits until the responses in progress have ended. */
   async close(): Promise<void> {
     const http = this.server.server as import('node:http').Server;
     const closed = new Promise<void>(resolve => {
@@ -88,18 +92,18 @@
         resolve();
       });
     });
-    this.silent.destroyAll();
+    this.newConnections.destroyAll();
     http.closeIdleConnections();
     await closed;
   }
 
-  /** Breaks off what is left. */
+  /** Closes all connections, including those with responses in progress. */
   destroy(): void {
     (this.server.server as import('node:http').Server).closeAllConnections();
   }
 }
 
-function handle(handler: CallerHandler) {
+function createRestifyHandler(handler: CallerHandler) {
   return async (
     request: Request,
     response: ServerResponse & {send?: unknown},
@@ -107,15 +111,15 @@
     try {
       await handler(request, response);
     } catch (error) {
-      writeProblem(response, asProblem(error));
+      writeProblem(response, toProblem(error));
     }
   };
 }
 
 /**
- * Answers what no route matches. The callback that restify hands in is not
- * called: it would write a second answer of its own onto the first, and the
- * exception from that ended the whole process, with every stream in it.
+ * Answers requests that match no route. The callback that restify passes is
+ * deliberately not called: it would write a second response, and the resulting
+ * exception terminated the process and with it every open stream.
  */
 function answerUnrouted(
   _request: IncomingMessage,
@@ -124,7 +128,7 @@
   writeProblem(
     response,
     new Problem(ProblemName.UnknownService, {
-      detail: 'there is nothing at this method and path',
+      detail: 'no route matches this method and path',
     }),
   );
 }
--- a/packages/router/src/chat-request.ts
+++ b/packages/router/src/chat-request.ts
@@ -2,12 +2,12 @@
 
 import {Problem, ProblemName} from './problem.js';
 
-/** A chat completion as the caller asked for it. */
+/** A caller's chat completion request. */
 export interface ChatRequest {
   readonly model: string;
   readonly messages: readonly ChatMessage[];
   readonly stream: boolean;
-  /** Undefined where the caller names none. */
+  /** Undefined if the caller set none. */
   readonly maximumOutputTokens: number | undefined;
   readonly batch: boolean;
 }
@@ -67,10 +67,9 @@
 }
 
 /**
- * Reads the body of a chat completion. Members that the system does not use are
- * let through unread.
+ * Parses the body of a chat completion. Unknown members are ignored.
  *
- * @throws Problem of the name malformed-request.
+ * @throws Problem `malformed-request` if the body is not valid.
  * @example
  * ```ts
  * const chat = parseChatRequest(body);
--- a/packages/router/src/completion-chunks.ts
+++ b/packages/router/src/completion-chunks.ts
@@ -2,7 +2,7 @@
 
 import type {Answer} from './answer.js';
 
-/** The parts of a chunk that readers of this package need. */
+/** The fields of a chunk that this package reads. */
 interface Chunk {
   readonly choices: readonly {
     readonly delta?: {readonly content?: string};
@@ -24,7 +24,7 @@
   );
 }
 
-/** A chunk that carries text. */
+/** Encodes a chunk that carries text. */
 export function textChunk(
   answer: Answer,
   model: string,
@@ -35,7 +35,7 @@
   });
 }
 
-/** The two chunks that follow the last text: why it ended, and the usage. */
+/** Encodes the two chunks after the last text: the finish reason and the usage. */
 export function endChunks(
   answer: Answer,
   model: string,
@@ -58,9 +58,9 @@
 }
 
 /**
- * The completion object for a caller that asked for no stream.
+ * Builds the completion object for a caller that did not request a stream.
  *
- * @param answer A whole answer.
+ * @param answer An answer that ended without a problem.
  */
 export function wholeCompletion(answer: Answer, model: string): object {
   let content = '';
--- a/packages/router/src/composition.ts
+++ b/packages/router/src/composition.ts
@@ -18,11 +18,11 @@
 import {LogLevel, type RouterSettings} from '@wisteriadeal/schema';
 import {Container} from 'inversify';
 
-import {ConnectKeeperConnector, KeeperConnector} from './keeper-link.js';
-import {ConnectRouterConnector, RouterConnector} from './router-attacher.js';
-import {Router, type RouterParts} from './router.js';
+import {ConnectKeeperConnector, KeeperConnector} from './keeper-connector.js';
+import {ConnectRouterConnector, RouterConnector} from './router-connector.js';
+import {Router, type RouterDependencies} from './router.js';
 
-/** Binds every border of the router; replacing an adapter is a line here. */
+/** Binds the production adapter of each external interface of the router. */
 export function createContainer(settings: RouterSettings): Container {
   const container = new Container();
   const host = settings.process?.host ?? '';
@@ -44,10 +44,10 @@
   return container;
 }
 
-/** Starts a router with what the container holds. */
+/** Starts a router with the dependencies bound in the container. */
 export function startRouter(settings: RouterSettings): Promise<Router> {
   const container = createContainer(settings);
-  const parts: RouterParts = {
+  const dependencies: RouterDependencies = {
     settings,
     keepers: container.get(KeeperConnector),
     routers: container.get(RouterConnector),
@@ -61,5 +61,5 @@
     }),
     metrics: container.get(Metrics),
   };
-  return Router.start(parts);
+  return Router.start(dependencies);
 }
--- a/packages/router/src/credentials.ts
+++ b/packages/router/src/credentials.ts
@@ -12,15 +12,15 @@
   readonly caller: AuthenticatedCaller;
 }
 
-const SCHEME = /^Bearer ([\x21-\x7e]+)$/i;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]+)$/i;
 const DIGEST_BYTES = 32;
 
 /**
  * The credentials of one configuration.
  *
- * The secret is hashed first, and every known digest is compared in constant
- * time without stopping at the first match: the time taken tells nothing of how
- * much of a guess was right, nor which organisation it belongs to.
+ * The secret is hashed first, and every known digest is compared in constant time
+ * without stopping at the first match, so response times reveal neither how much
+ * of a guess was correct nor which organisation a credential belongs to.
  */
 export class Credentials {
   private readonly known: readonly KnownCredential[];
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Finds the caller of an `Authorization` header.
+   * Finds the caller of an `Authorization` header; undefined if there is none.
    *
    * @example
    * ```ts
@@ -45,7 +45,7 @@
    * ```
    */
   authenticate(header: string | undefined): AuthenticatedCaller | undefined {
-    const secret = SCHEME.exec(header ?? '')?.[1];
+    const secret = BEARER_PATTERN.exec(header ?? '')?.[1];
     if (secret === undefined) {
       return undefined;
     }
--- a/packages/router/src/dispatch-run.ts
+++ b/packages/router/src/dispatch-run.ts
@@ -7,26 +7,26 @@
 import type {RunResult} from './endpoint-work.js';
 import {freshAttemptId} from './identity.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import * as life from './request-life.js';
-import {RETRY_MILLISECONDS, type RunContext} from './run-context.js';
-import {billOutcome, claimLostProblem} from './verdicts.js';
+import * as requestState from './request-state.js';
+import {RETRY_AFTER_MILLISECONDS, type RunContext} from './run-context.js';
+import {billOutcome, claimExpiredProblem} from './verdicts.js';
 
-/** Endpoints tried for one request, as long as none was reached. */
+/** Maximum number of endpoints tried for one request until one is reached. */
 const MAXIMUM_PLACEMENTS = 3;
 
-/** The part of a request's life from its reservation to its bill. */
+/** Runs a request from its reservation to its bill. */
 export class DispatchRun {
   constructor(private readonly context: RunContext) {}
 
-  /** Dispatches, to another endpoint where one can't be reached. */
-  async execute(from: life.Reserved): Promise<void> {
+  /** Dispatches the request; tries another endpoint if one is unreachable. */
+  async execute(from: requestState.Reserved): Promise<void> {
     let reserved = from;
     for (let tries = 0; tries < MAXIMUM_PLACEMENTS; tries++) {
       const placed =
         reserved.placement === undefined
-          ? await this.context.findEndpoint(life.queue(reserved))
+          ? await this.context.findEndpoint(requestState.queue(reserved))
           : reserved;
-      if (placed?.kind !== life.LifeKind.Reserved) {
+      if (placed?.kind !== requestState.Phase.Reserved) {
         return;
       }
       const next = await this.dispatch(placed);
@@ -41,37 +41,40 @@
         detail: 'no endpoint could be reached',
         step: 'dispatch',
         peer: this.context.submission.service,
-        retryAfterMilliseconds: RETRY_MILLISECONDS,
+        retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS,
       }),
     );
   }
 
-  /** Returns the state before dispatch where the endpoint was not reached. */
+  /**
+   * Dispatches to the assigned endpoint. Returns the state before dispatch if the
+   * endpoint was not reached, and undefined if the request has ended.
+   */
   private async dispatch(
-    reserved: life.Reserved,
-  ): Promise<life.Reserved | undefined> {
-    const {submission, parts} = this.context;
+    reserved: requestState.Reserved,
+  ): Promise<requestState.Reserved | undefined> {
+    const {submission, dependencies} = this.context;
     if (
       !submission.idempotent &&
-      !parts.holder.claimStands(reserved.reservation)
+      !dependencies.holder.isClaimValid(reserved.reservation)
     ) {
-      this.context.refuse(reserved, claimLostProblem());
+      this.context.refuse(reserved, claimExpiredProblem());
       return undefined;
     }
     if (!submission.idempotent) {
-      parts.dispatchedCalls.add(submission.requestId);
+      dependencies.dispatchedCalls.add(submission.requestId);
     }
     const endpoint = reserved.placement?.endpoint ?? '';
-    const attemptId = freshAttemptId(submission.requestId, parts.random);
-    const dispatching = this.context.note(
-      life.dispatch(reserved, {endpoint, attemptId}),
+    const attemptId = freshAttemptId(submission.requestId, dependencies.random);
+    const dispatching = this.context.recordState(
+      requestState.dispatch(reserved, {endpoint, attemptId}),
     );
-    this.tellHolder(dispatching);
+    this.notifyHolder(dispatching);
     try {
       const result = await submission.work.start(
         dispatching.attempt,
         this.context.answer,
-        {started: this.startedHook(dispatching)},
+        {started: this.createStartedHook(dispatching)},
       );
       await this.finishOrRerun(dispatching, result);
       return undefined;
@@ -79,43 +82,44 @@
       if (!(error instanceof StepError) || error.fate !== Fate.NotDone) {
         throw error;
       }
-      this.context.parts.log.warn('endpoint-not-reached', {
-        ...this.context.fields,
+      this.context.dependencies.log.warn('endpoint-not-reached', {
+        ...this.context.logFields,
         step: error.step,
         peer: error.peer,
         reason: error.reason,
       });
       this.context.avoid(endpoint);
-      return this.context.note(life.unreached(dispatching));
+      return this.context.recordState(requestState.undoDispatch(dispatching));
     }
   }
 
-  /** Continues what a lost router dispatched. */
-  async continueAttempt(resuming: life.Resuming): Promise<void> {
+  /** Resumes an attempt that a lost router dispatched. */
+  async continueAttempt(resuming: requestState.Resuming): Promise<void> {
     const {submission} = this.context;
-    this.tellHolder(resuming);
+    this.notifyHolder(resuming);
     const result = await submission.work.resume(
       resuming.attempt,
       this.context.answer,
       {
-        started: this.startedHook(resuming),
+        started: this.createStartedHook(resuming),
       },
     );
     await this.finishOrRerun(resuming, result);
   }
 
   /**
-   * Nobody can tell what became of an attempt: its engine is gone, or its router
-   * died before it told where it went. An idempotent request of which the caller
-   * has seen nothing is run once more elsewhere, under the same reservation and
-   * with one bill; a late answer of the first attempt has no connection left to
-   * come by. Anything else is told as unknown.
+   * Ends the request, or reruns it after an attempt with an unknown outcome: its
+   * engine is gone, or its router died before it reported the endpoint. An
+   * idempotent request whose caller has received no event is run once more at
+   * another endpoint, with the same reservation and a single bill. A late answer
+   * of the first attempt has no open connection and is never delivered. Any other
+   * request ends as unknown.
    */
   private async finishOrRerun(
-    from: life.Dispatching | life.Resuming,
+    from: requestState.Dispatching | requestState.Resuming,
     result: RunResult,
   ): Promise<void> {
-    const {submission, answer, parts} = this.context;
+    const {submission, answer, dependencies} = this.context;
     const mayRerun =
       result.outcome === AnswerOutcome.Unknown &&
       submission.idempotent &&
@@ -126,48 +130,61 @@
       return;
     }
     this.context.avoid(from.attempt.endpoint);
-    const placing = await this.context.offer();
-    if (placing.err) {
+    const placement = await this.context.requestPlacement();
+    if (placement.err) {
       this.finish(from, result);
       return;
     }
-    const attemptId = freshAttemptId(submission.requestId, parts.random);
-    const {endpoint} = placing.val;
-    const again = this.context.note(life.rerun(from, {endpoint, attemptId}));
-    this.tellHolder(again);
+    const attemptId = freshAttemptId(submission.requestId, dependencies.random);
+    const {endpoint} = placement.val;
+    const rerunState = this.context.recordState(
+      requestState.rerun(from, {endpoint, attemptId}),
+    );
+    this.notifyHolder(rerunState);
     try {
-      const hooks = {started: this.startedHook(again)};
-      const second = await submission.work.start(again.attempt, answer, hooks);
-      this.finish(again, second);
+      const hooks = {started: this.createStartedHook(rerunState)};
+      const rerunResult = await submission.work.start(
+        rerunState.attempt,
+        answer,
+        hooks,
+      );
+      this.finish(rerunState, rerunResult);
     } catch {
-      this.finish(again, result);
+      this.finish(rerunState, result);
     }
   }
 
-  private tellHolder(from: life.Dispatching | life.Resuming): void {
-    const {submission, parts} = this.context;
+  private notifyHolder(
+    from: requestState.Dispatching | requestState.Resuming,
+  ): void {
+    const {submission, dependencies} = this.context;
     const {reservation, attempt} = from;
-    parts.holder.dispatching({...submission, reservation}, attempt);
+    dependencies.holder.sendDispatching({...submission, reservation}, attempt);
   }
 
-  private startedHook(from: life.AfterDispatch): () => void {
-    let first = true;
+  private createStartedHook(from: requestState.AfterDispatch): () => void {
+    let isFirst = true;
     return () => {
-      if (first) {
-        first = false;
-        this.context.note(life.stream(from));
-        this.context.parts.dispatcher.firstToken(
+      if (isFirst) {
+        isFirst = false;
+        this.context.recordState(requestState.stream(from));
+        this.context.dependencies.dispatcher.firstToken(
           this.context.submission.requestId,
         );
       }
     };
   }
 
-  /** The caller is told at once; the bill is repeated until acknowledged. */
-  private finish(from: life.AfterDispatch, result: RunResult): void {
-    const settling = this.context.note(life.settle(from, result.outcome));
+  /**
+   * Ends the answer at once and sends the bill; the bill is resent until a keeper
+   * acknowledges it.
+   */
+  private finish(from: requestState.AfterDispatch, result: RunResult): void {
+    const settling = this.context.recordState(
+      requestState.settle(from, result.outcome),
+    );
     const {problem, usage} = result;
-    this.context.answer.keep = true;
+    this.context.answer.shouldKeep = true;
     this.context.answer.finish(
       problem === undefined
         ? {whole: true}
@@ -179,24 +196,27 @@
         ? WorkOutcome.Answered
         : WorkOutcome.Failed;
     this.context.release(from.attempt.endpoint, outcome, usage);
-    this.context.parts.metrics.increment(`request.${result.outcome}`);
-    void this.bill(settling, result).then(() => {
-      this.context.note(life.end(settling));
+    this.context.dependencies.metrics.increment(`request.${result.outcome}`);
+    void this.settleBill(settling, result).then(() => {
+      this.context.recordState(requestState.end(settling));
     });
   }
 
-  private bill(settling: life.Settling, result: RunResult): Promise<void> {
+  private settleBill(
+    settling: requestState.Settling,
+    result: RunResult,
+  ): Promise<void> {
     const {requestId, organisation, caller, boundTokens} =
       this.context.submission;
     const {usage, outcome, cancelled} = result;
-    const used =
+    const usedTokens =
       usage === undefined
         ? boundTokens
         : usage.promptTokens + usage.completionTokens;
     const bill = create(BillSchema, {
       requestId,
       grantId: settling.reservation.grantId,
-      tokens: charge(used, boundTokens),
+      tokens: charge(usedTokens, boundTokens),
       promptTokens: usage?.promptTokens ?? 0,
       completionTokens: usage?.completionTokens ?? 0,
       confirmed: usage !== undefined,
@@ -206,7 +226,7 @@
       caller,
     });
     const {reservation} = settling;
-    return this.context.parts.holder.settle(
+    return this.context.dependencies.holder.settle(
       {requestId, organisation, reservation},
       bill,
     );
--- a/packages/router/src/dispatched-calls.ts
+++ b/packages/router/src/dispatched-calls.ts
@@ -1,32 +1,32 @@
 /**
- * Calls remembered. At a few of them a second a router remembers a day's; each
- * takes about a hundred bytes.
+ * Maximum number of recorded calls. At a few calls a second this covers about a
+ * day; each entry takes about 100 bytes.
  */
-const MAXIMUM_REMEMBERED = 100_000;
+const MAXIMUM_CALLS = 100_000;
 
 /**
- * The non-idempotent calls that this router ever dispatched. It is the one word
- * on whether a claim that it holds was used, so it never says "never" of a call
- * that it may have forgotten.
+ * Records the non-idempotent calls that this router has dispatched. It is the
+ * only evidence of whether a claim of this router was used, so after the first
+ * eviction no call is reported as never dispatched.
  */
 export class DispatchedCalls {
   private readonly requestIds = new Set<string>();
-  private forgot = false;
+  private hasEvicted = false;
 
-  constructor(private readonly maximum = MAXIMUM_REMEMBERED) {}
+  constructor(private readonly maximumCalls = MAXIMUM_CALLS) {}
 
-  /** Notes a call before its first byte leaves. */
+  /** Records a call; must run before the call's first byte is sent. */
   add(requestId: string): void {
     this.requestIds.add(requestId);
     const [oldest] = this.requestIds;
-    if (this.requestIds.size > this.maximum && oldest !== undefined) {
+    if (this.requestIds.size > this.maximumCalls && oldest !== undefined) {
       this.requestIds.delete(oldest);
-      this.forgot = true;
+      this.hasEvicted = true;
     }
   }
 
-  /** True only where this router certainly never dispatched the call. */
-  isUnused(requestId: string): boolean {
-    return !this.forgot && !this.requestIds.has(requestId);
+  /** Returns true only if this router certainly never dispatched the call. */
+  isNeverDispatched(requestId: string): boolean {
+    return !this.hasEvicted && !this.requestIds.has(requestId);
   }
 }
--- a/packages/router/src/endpoint-directory.ts
+++ b/packages/router/src/endpoint-directory.ts
@@ -18,21 +18,22 @@
 import type {LoadDispatcher} from './load-dispatcher.js';
 
 /**
- * An engine's report is asked for once a second: it lags by about as much, and
- * its own word that it leaves must be known within three seconds.
+ * Interval of polling an engine's load report. The report itself lags by about a
+ * second, and an engine's announcement that it is leaving must be noticed within
+ * three seconds.
  */
-const LOAD_REPORT_MILLISECONDS = 1_000;
+const LOAD_REPORT_INTERVAL_MILLISECONDS = 1_000;
 
-interface KnownEndpoint {
+interface EndpointConnection {
   readonly endpoint: Endpoint;
   readonly engine: ModelEngine | undefined;
   readonly plainService: PlainService | undefined;
-  readonly stop: AbortController;
-  /** The endpoint itself says that it leaves. */
-  saysLeaving: boolean;
+  readonly stopReports: AbortController;
+  /** Whether the endpoint's last load report says that it is leaving. */
+  reportsLeaving: boolean;
 }
 
-/** What the directory is made with. */
+/** Dependencies of the directory. */
 export interface EndpointDirectoryOptions {
   readonly engines: ModelEngineFactory;
   readonly plainServices: PlainServiceFactory;
@@ -43,28 +44,29 @@
 }
 
 /**
- * The endpoints of the configuration in force, with a client and, for engines, a
- * task that reads load reports. An endpoint gets no new work from the first of:
- * the platform's list, the configuration, its own word.
+ * The endpoints of the configuration in force, each with a client and, for
+ * engines, a task that polls load reports. An endpoint gets no new work as soon
+ * as the platform's list, the configuration or its own load report says that it
+ * is leaving.
  */
 export class EndpointDirectory {
-  private readonly known = new Map<string, KnownEndpoint>();
-  private readonly retired = new Set<KnownEndpoint>();
+  private readonly connections = new Map<string, EndpointConnection>();
+  private readonly retired = new Set<EndpointConnection>();
   private configuration: Configuration | undefined;
 
   constructor(private readonly options: EndpointDirectoryOptions) {}
 
-  /** Client of a model engine. */
+  /** Returns the client of a model engine's endpoint. */
   engine(endpoint: string): ModelEngine | undefined {
-    return this.known.get(endpoint)?.engine;
+    return this.connections.get(endpoint)?.engine;
   }
 
-  /** Client of a plain service's endpoint. */
+  /** Returns the client of a plain service's endpoint. */
   plainService(endpoint: string): PlainService | undefined {
-    return this.known.get(endpoint)?.plainService;
+    return this.connections.get(endpoint)?.plainService;
   }
 
-  /** Takes a new configuration. */
+  /** Applies a new configuration. */
   configure(configuration: Configuration): void {
     this.configuration = configuration;
     const services = new Map(
@@ -73,9 +75,9 @@
     const listed = new Map(
       configuration.endpoints.map(endpoint => [endpoint.name, endpoint]),
     );
-    for (const [name, known] of this.known) {
-      if (listed.get(name)?.address !== known.endpoint.address) {
-        this.retire(name, known);
+    for (const [name, connection] of this.connections) {
+      if (listed.get(name)?.address !== connection.endpoint.address) {
+        this.retire(name, connection);
       }
     }
     for (const endpoint of configuration.endpoints) {
@@ -84,45 +86,49 @@
     this.refresh();
   }
 
-  /** Hands the endpoints, as they are now, to the decisions. */
+  /** Passes the current endpoints and their states to the dispatcher. */
   refresh(): void {
     const leaving = this.options.leavingEndpoints();
     const services = new Map(
       this.configuration?.services.map(service => [service.name, service]),
     );
-    const descriptions = [...this.known.values()].map(known =>
-      this.describe(known, services.get(known.endpoint.service), leaving),
+    const descriptions = [...this.connections.values()].map(connection =>
+      this.describe(
+        connection,
+        services.get(connection.endpoint.service),
+        leaving,
+      ),
     );
     this.options.dispatcher.updateEndpoints(descriptions);
   }
 
-  /** Names and states, for a dump. */
+  /** Names and states of all endpoints, for inspection. */
   summary(): readonly {readonly endpoint: string; readonly leaving: boolean}[] {
     const leaving = this.options.leavingEndpoints();
-    return [...this.known.values()].map(known => ({
-      endpoint: known.endpoint.name,
-      leaving: this.describe(known, undefined, leaving).leaving,
+    return [...this.connections.values()].map(connection => ({
+      endpoint: connection.endpoint.name,
+      leaving: this.describe(connection, undefined, leaving).leaving,
     }));
   }
 
-  /** Ends all clients. */
+  /** Stops polling and closes all clients. */
   async close(): Promise<void> {
-    const all = [...this.known.values(), ...this.retired];
-    for (const known of all) {
-      known.stop.abort();
+    const all = [...this.connections.values(), ...this.retired];
+    for (const connection of all) {
+      connection.stopReports.abort();
     }
-    for (const known of all) {
-      await known.engine?.close();
-      await known.plainService?.close();
+    for (const connection of all) {
+      await connection.engine?.close();
+      await connection.plainService?.close();
     }
   }
 
   private describe(
-    known: KnownEndpoint,
+    connection: EndpointConnection,
     service: Service | undefined,
     leaving: ReadonlySet<string>,
   ): EndpointDescription {
-    const {endpoint} = known;
+    const {endpoint} = connection;
     return {
       endpoint: endpoint.name,
       service: endpoint.service,
@@ -130,46 +136,50 @@
       dataCenter: endpoint.dataCenter,
       slots: endpoint.slots,
       leaving:
-        known.saysLeaving ||
+        connection.reportsLeaving ||
         leaving.has(endpoint.name) ||
         endpoint.state === EndpointState.LEAVING,
     };
   }
 
   private connect(endpoint: Endpoint, service: Service | undefined): void {
-    const former = this.known.get(endpoint.name);
-    if (former !== undefined) {
-      this.known.set(endpoint.name, {...former, endpoint});
+    const existing = this.connections.get(endpoint.name);
+    if (existing !== undefined) {
+      this.connections.set(endpoint.name, {...existing, endpoint});
       return;
     }
     const isModel = service?.kind === ServiceKind.MODEL;
     const {name, address} = endpoint;
-    const known: KnownEndpoint = {
+    const connection: EndpointConnection = {
       endpoint,
       engine: isModel ? this.options.engines.connect(name, address) : undefined,
       plainService: isModel
         ? undefined
         : this.options.plainServices.connect(name, address),
-      stop: new AbortController(),
-      saysLeaving: false,
+      stopReports: new AbortController(),
+      reportsLeaving: false,
     };
-    this.known.set(name, known);
-    if (known.engine !== undefined) {
-      void this.readReports(name, known.engine, known.stop.signal);
+    this.connections.set(name, connection);
+    if (connection.engine !== undefined) {
+      void this.pollLoadReports(
+        name,
+        connection.engine,
+        connection.stopReports.signal,
+      );
     }
   }
 
   /**
-   * Work in progress at an endpoint that left the configuration still needs its
-   * connections, so the client is kept until the process ends.
+   * Removes an endpoint that left the configuration. Running requests still need
+   * its connections, so its client stays open until the process ends.
    */
-  private retire(name: string, known: KnownEndpoint): void {
-    known.stop.abort();
-    this.known.delete(name);
-    this.retired.add(known);
+  private retire(name: string, connection: EndpointConnection): void {
+    connection.stopReports.abort();
+    this.connections.delete(name);
+    this.retired.add(connection);
   }
 
-  private async readReports(
+  private async pollLoadReports(
     name: string,
     engine: ModelEngine,
     signal: AbortSignal,
@@ -179,18 +189,18 @@
       try {
         const load = await engine.load(signal);
         dispatcher.report(name, load);
-        this.noteLeaving(name, load.leaving);
+        this.updateLeaving(name, load.leaving);
       } catch (error) {
         log.debug('load-report-missing', {peer: name, reason: String(error)});
       }
-      await clock.sleep(LOAD_REPORT_MILLISECONDS, signal);
+      await clock.sleep(LOAD_REPORT_INTERVAL_MILLISECONDS, signal);
     }
   }
 
-  private noteLeaving(name: string, leaving: boolean): void {
-    const known = this.known.get(name);
-    if (known !== undefined && known.saysLeaving !== leaving) {
-      known.saysLeaving = leaving;
+  private updateLeaving(name: string, leaving: boolean): void {
+    const connection = this.connections.get(name);
+    if (connection !== undefined && connection.reportsLeaving !== leaving) {
+      connection.reportsLeaving = leaving;
       this.refresh();
     }
   }
--- a/packages/router/src/endpoint-work.ts
+++ b/packages/router/src/endpoint-work.ts
@@ -2,32 +2,35 @@
 
 import type {Answer} from './answer.js';
 import type {Problem} from './problem.js';
-import type {Attempt, RunOutcome} from './request-life.js';
+import type {Attempt, RunOutcome} from './request-state.js';
 
-/** How work at an endpoint ended. */
+/** Result of the work at an endpoint. */
 export interface RunResult {
   readonly outcome: RunOutcome;
-  /** The caller hung up and the work was cancelled. */
+  /** Whether the work was cancelled because the caller disconnected. */
   readonly cancelled: boolean;
-  /** Undefined where nobody could tell: the bound is charged, unconfirmed. */
+  /**
+   * Tokens used. If undefined, the endpoint could not report them: the full
+   * reservation is charged and the bill is marked unconfirmed.
+   */
   readonly usage: EngineUsage | undefined;
-  /** Why there is no whole answer. */
+  /** Why the answer is incomplete; undefined if it is complete. */
   readonly problem: Problem | undefined;
 }
 
-/** What a run tells while it goes on. */
+/** Callbacks of a running attempt. */
 export interface RunHooks {
-  /** The endpoint has begun to answer. */
+  /** Called for each part of the answer that arrives. */
   started(): void;
 }
 
-/** The work of one request, as its kind of endpoint does it. */
+/** The work of one request at its kind of endpoint. */
 export abstract class EndpointWork {
   /**
-   * Dispatches an attempt and copies what comes into the answer.
+   * Dispatches an attempt and copies the endpoint's response into the answer.
    *
-   * @throws StepError with fate NotDone, only where the attempt certainly did
-   *     not reach the endpoint. Every other failure is a result.
+   * @throws StepError with fate NotDone, only if the attempt certainly did not
+   *     reach the endpoint. Every other failure is returned as a result.
    */
   abstract start(
     attempt: Attempt,
@@ -35,7 +38,7 @@
     hooks: RunHooks,
   ): Promise<RunResult>;
 
-  /** Continues an attempt that another router dispatched; never throws. */
+  /** Resumes an attempt that another router dispatched; never throws. */
   abstract resume(
     attempt: Attempt,
     answer: Answer,
--- a/packages/router/src/holder-client.ts
+++ b/packages/router/src/holder-client.ts
@@ -3,30 +3,31 @@
 import {BeginVerdict, type Bill, type BeginAnswer} from '@wisteriadeal/schema';
 
 import type {KeeperDirectory} from './keeper-directory.js';
-import type {RouterMessageInit} from './keeper-link.js';
+import type {RouterMessageInit} from './keeper-connector.js';
 import type {BeginFields, KeeperSession} from './keeper-session.js';
-import type {Attempt, Reservation} from './request-life.js';
+import type {Attempt, Reservation} from './request-state.js';
 
 /**
- * A begin is tried at most this often: the first holder, the one that it names,
- * and two more while a lost holder is being replaced.
+ * Maximum number of begins for one request: one to the expected holder, one to
+ * the holder that it names, and two more while a lost holder is being replaced.
  */
 const MAXIMUM_BEGINS = 4;
-const BEGIN_PAUSE_MILLISECONDS = 100;
+const BEGIN_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
- * A claim older than this may have been given up, so nothing is dispatched on
- * it. Shorter than a begin may take: that one also covers idempotent requests,
- * which lose nothing by waiting for a lost holder's grant.
+ * Time after which the holder may have given up a claim, so no call is dispatched
+ * with an older one. It is shorter than the begin timeout, which also covers
+ * idempotent requests; those can safely wait for a lost holder's grant.
  */
 const CLAIM_LEASE_MILLISECONDS = 3_000;
 
-const SETTLE_REPEAT_MILLISECONDS = 500;
+/** Interval of resending settlements and abandons. */
+const RESEND_INTERVAL_MILLISECONDS = 500;
 
-/** An abandon is kept for a minute while no keeper is in reach. */
-const MAXIMUM_ABANDONS = 120;
+/** Retries an abandon for one minute while no keeper is reachable. */
+const MAXIMUM_ABANDON_SENDS = 120;
 
-function abandonOf(
+function abandonMessage(
   requestId: string,
   organisation: string,
   grantId: string,
@@ -41,17 +42,17 @@
   return {kind: {case: 'abandon', value}};
 }
 
-/** Who is told about a request. */
-export interface Reserved {
+/** A request with its reservation, which names the keepers to notify. */
+export interface ReservedRequest {
   readonly requestId: string;
   readonly organisation: string;
   readonly reservation: Reservation;
 }
 
-/** Talks to whichever keeper holds an organisation. */
+/** Sends requests and their bills to the keeper that holds an organisation. */
 export class HolderClient {
   private readonly unacknowledged = new Map<string, () => void>();
-  private begins = 0;
+  private lastBeginNumber = 0;
 
   constructor(
     private readonly directory: KeeperDirectory,
@@ -59,7 +60,7 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Number of settlements that no keeper has acknowledged. */
+  /** Number of settlements not yet acknowledged by a keeper. */
   get openSettlements(): number {
     return this.unacknowledged.size;
   }
@@ -67,51 +68,52 @@
   /**
    * Begins a request at its organisation's holder.
    *
-   * A begin whose answer was lost may have reserved. Without an abandon before
-   * the next begin, the keeper would take that for a retry of a request that
-   * already runs here and send it to this very router; the caller would be
-   * refused and the tokens stay reserved for as long as this router lives. Where
-   * the holder was lost with the answer, its witness would bill them.
+   * A begin whose answer was lost may have made a reservation, so an abandon is
+   * sent before the next begin. Without it, the keeper would treat the next begin
+   * as a retry of a request that already runs at this router and return a join
+   * with this router; the caller would be refused, and the tokens would stay
+   * reserved for the lifetime of this router. If the holder was lost together
+   * with the answer, its witness would bill them.
    *
-   * @throws StepError where no holder gave a verdict; nothing was dispatched,
-   *     and what a keeper may have reserved is abandoned.
+   * @throws StepError if no holder gave a verdict. Nothing was dispatched, and
+   *     any reservation that a keeper may have made is abandoned.
    */
   async begin(fields: BeginFields): Promise<BeginAnswer> {
     const lostBegins: number[] = [];
-    let named: string | undefined;
+    let namedHolder: string | undefined;
     let failure = new StepError(
       'begin at the holder',
       fields.organisation,
       Fate.NotDone,
-      'no keeper of this data centre is in reach',
+      'no keeper of this data centre is reachable',
     );
     for (let round = 0; round < MAXIMUM_BEGINS; round++) {
       if (round > 0) {
-        await this.clock.sleep(BEGIN_PAUSE_MILLISECONDS * (round - 1));
+        await this.clock.sleep(BEGIN_RETRY_DELAY_MILLISECONDS * (round - 1));
       }
       const session =
-        this.sessionNamed(named) ??
+        this.findSession(namedHolder) ??
         this.directory.holderOf(fields.organisation);
       if (session === undefined) {
         continue;
       }
       if (failure.fate === Fate.Unknown) {
         const {requestId, organisation} = fields;
-        session.send(abandonOf(requestId, organisation, '', lostBegins));
+        session.send(abandonMessage(requestId, organisation, '', lostBegins));
       }
-      const beginNumber = ++this.begins;
+      const beginNumber = ++this.lastBeginNumber;
       try {
         const answer = await session.begin({...fields, beginNumber});
         if (answer.verdict !== BeginVerdict.NOT_HOLDER) {
           return answer;
         }
-        named = answer.holder;
+        namedHolder = answer.holder;
       } catch (error) {
         if (!(error instanceof StepError)) {
           throw error;
         }
         failure = error;
-        named = undefined;
+        namedHolder = undefined;
         lostBegins.push(beginNumber);
         this.log.warn('begin-lost', {
           request: fields.requestId,
@@ -129,29 +131,30 @@
   }
 
   /**
-   * True while the claim behind a reservation is certainly still this router's:
-   * the session over which it was asked for has been open ever since, and the
-   * asking is not long ago.
+   * Returns true while this router certainly still owns the claim of a
+   * reservation: the session over which the begin was sent has stayed open since,
+   * and the begin is at most 3 seconds old.
    *
-   * A router that was paused (or whose session broke) wakes with the reservation
-   * as the first thing that it reads, while its holder has long answered a retry
-   * otherwise. The symptom would be a certificate issued after its caller was
-   * told something else. The holder never lets a claimed request run again, so a
-   * pause after this check can't issue a second one; the check is what keeps the
-   * answers true in all but that last moment.
+   * A router that was paused, or whose session broke, may read the reservation
+   * after its holder has given a different answer to a retry. Without this check
+   * a certificate could be issued after its caller was told another outcome. The
+   * holder never lets a claimed request run again, so a pause after this check
+   * can't issue a second certificate; it can only make the reported outcome
+   * wrong, in the short time between the check and the dispatch.
    */
-  claimStands({holder, askedAt}: Reservation): boolean {
+  isClaimValid({holder, beginSentAt}: Reservation): boolean {
     const session = this.directory.sessionOf(holder);
     return (
       session !== undefined &&
-      session.openSince <= askedAt &&
-      this.clock.monotonicMilliseconds() - askedAt <= CLAIM_LEASE_MILLISECONDS
+      session.openSince <= beginSentAt &&
+      this.clock.monotonicMilliseconds() - beginSentAt <=
+        CLAIM_LEASE_MILLISECONDS
     );
   }
 
-  /** Tells the holder, before the first byte leaves for the endpoint. */
-  dispatching(reserved: Reserved, attempt: Attempt): void {
-    this.sendToKnowing(reserved, {
+  /** Notifies the holder before the first byte is sent to the endpoint. */
+  sendDispatching(reserved: ReservedRequest, attempt: Attempt): void {
+    this.sendToHolder(reserved, {
       kind: {
         case: 'dispatching',
         value: {requestId: reserved.requestId, attempt},
@@ -160,55 +163,55 @@
   }
 
   /**
-   * Releases the reservation of a request that was never dispatched. Where no
-   * keeper is in reach, it is sent once one is: the tokens would stay reserved
-   * for as long as this router lives.
+   * Releases the reservation of a request that was never dispatched. While no
+   * keeper is reachable, the message is retried for up to one minute; otherwise
+   * the tokens would stay reserved for the lifetime of this router.
    */
   async abandon(
-    reserved: Reserved,
+    reserved: ReservedRequest,
     lostBegins: readonly number[] = [],
   ): Promise<void> {
     const {requestId, organisation, reservation} = reserved;
-    const message = abandonOf(
+    const message = abandonMessage(
       requestId,
       organisation,
       reservation.grantId,
       lostBegins,
     );
-    for (let tries = 0; tries < MAXIMUM_ABANDONS; tries++) {
-      if (this.sendToKnowing(reserved, message)) {
+    for (let tries = 0; tries < MAXIMUM_ABANDON_SENDS; tries++) {
+      if (this.sendToHolder(reserved, message)) {
         return;
       }
-      await this.clock.sleep(SETTLE_REPEAT_MILLISECONDS);
+      await this.clock.sleep(RESEND_INTERVAL_MILLISECONDS);
     }
   }
 
   /**
-   * Releases what begins without an answer may have reserved.
+   * Releases reservations that unanswered begins may have made.
    *
-   * @param lostBegins Their numbers, as far as they are known.
+   * @param lostBegins Numbers of these begins, if known.
    */
   abandonUnanswered(
     fields: BeginFields,
     lostBegins: readonly number[] = [],
   ): void {
     const {requestId, organisation} = fields;
-    const reservation = {grantId: '', holder: '', witness: '', askedAt: 0};
+    const reservation = {grantId: '', holder: '', witness: '', beginSentAt: 0};
     void this.abandon({requestId, organisation, reservation}, lostBegins);
   }
 
   /**
-   * Repeats the settlement until a keeper acknowledges it. A lost settlement
-   * would leave the bound charged though the usage is known.
+   * Resends a settlement until a keeper acknowledges it. If it were lost, the full
+   * reservation would stay charged although the usage is known.
    */
-  async settle(reserved: Reserved, bill: Bill): Promise<void> {
+  async settle(reserved: ReservedRequest, bill: Bill): Promise<void> {
     const {requestId, organisation, reservation} = reserved;
     const acknowledged = new AbortController();
     this.unacknowledged.set(requestId, () => {
       acknowledged.abort();
     });
     while (!acknowledged.signal.aborted) {
-      this.sendToKnowing(reserved, {
+      this.sendToHolder(reserved, {
         kind: {
           case: 'settle',
           value: {
@@ -219,34 +222,36 @@
           },
         },
       });
-      await this.clock.sleep(SETTLE_REPEAT_MILLISECONDS, acknowledged.signal);
+      await this.clock.sleep(RESEND_INTERVAL_MILLISECONDS, acknowledged.signal);
     }
   }
 
-  /** A keeper acknowledged a settlement. */
-  settled(requestId: string): void {
+  /** Stops resending a settlement that a keeper acknowledged. */
+  settlementAcknowledged(requestId: string): void {
     this.unacknowledged.get(requestId)?.();
     this.unacknowledged.delete(requestId);
   }
 
-  private sessionNamed(incarnation: string | undefined) {
+  private findSession(incarnation: string | undefined) {
     return incarnation === undefined
       ? undefined
       : this.directory.sessionOf(incarnation);
   }
 
   /**
-   * The holder that reserved, else its witness, which knows every reservation
-   * and inherits it, else whoever would hold the organisation now.
+   * Sends a message to the holder that made the reservation; if it has no open
+   * session, to its witness, which has a copy of every reservation and inherits
+   * it; else to the current holder of the organisation. Returns false if none has
+   * an open session.
    */
-  private sendToKnowing(
-    reserved: Reserved,
+  private sendToHolder(
+    reserved: ReservedRequest,
     message: RouterMessageInit,
   ): boolean {
     const {holder, witness} = reserved.reservation;
     const session: KeeperSession | undefined =
-      this.sessionNamed(holder) ??
-      this.sessionNamed(witness) ??
+      this.findSession(holder) ??
+      this.findSession(witness) ??
       this.directory.holderOf(reserved.organisation);
     const sent = session?.send(message) === true;
     if (!sent) {
--- a/packages/router/src/identity.ts
+++ b/packages/router/src/identity.ts
@@ -5,20 +5,20 @@
 const ATTEMPT_DIGITS = 8;
 const MINTED_PREFIX = 'minted';
 
-/** SHA-256 in lower-case hexadecimal. */
+/** Returns the SHA-256 digest in lower-case hexadecimal. */
 export function sha256Hex(content: string | Uint8Array): string {
   return createHash('sha256').update(content).digest('hex');
 }
 
-/** Whose request it is. */
+/** The organisation and the caller that own a request. */
 export interface CallerIdentity {
   readonly organisation: string;
   readonly caller: string;
 }
 
 /**
- * The identifier of a request with a caller's key: the same at every router, and
- * never that of another organisation or caller.
+ * Derives the identifier of a request with an idempotency key. It is the same at
+ * every router, and differs between organisations and callers.
  *
  * @example
  * ```ts
@@ -32,12 +32,12 @@
   return `req_${digest.slice(0, REQUEST_DIGITS)}`;
 }
 
-/** The identifier of a request without a key. */
+/** Generates the identifier of a request without a key. */
 export function freshRequestId(random: RandomSource): string {
   return `req_${random.identifier().slice(0, REQUEST_DIGITS)}`;
 }
 
-/** The identifier of one try at one endpoint. */
+/** Generates the identifier of one attempt at one endpoint. */
 export function freshAttemptId(
   requestId: string,
   random: RandomSource,
@@ -45,17 +45,17 @@
   return `${requestId}.${random.identifier().slice(0, ATTEMPT_DIGITS)}`;
 }
 
-/** A key that only one router incarnation may execute. */
-export interface MintedKey {
+/** The router incarnation that minted a key; only it may execute the request. */
+export interface MintedKeyOwner {
   readonly dataCenter: string;
   readonly incarnation: string;
 }
 
 /**
- * Mints a key. Only this incarnation may execute it, so no claim on the log is
- * needed, and it works while the platform is away.
+ * Mints a key. Only the minting incarnation may execute a request with it, so no
+ * claim in the log is needed and the key works while the platform is unavailable.
  */
-export function mintKey(owner: MintedKey, random: RandomSource): string {
+export function mintKey(owner: MintedKeyOwner, random: RandomSource): string {
   const incarnation = Buffer.from(owner.incarnation).toString('base64url');
   return [
     MINTED_PREFIX,
@@ -65,8 +65,8 @@
   ].join('.');
 }
 
-/** Reads a minted key; undefined for a caller's own key. */
-export function parseMintedKey(key: string): MintedKey | undefined {
+/** Parses a minted key; returns undefined for a caller's own key. */
+export function parseMintedKey(key: string): MintedKeyOwner | undefined {
   const [prefix, dataCenter, incarnation, identifier, ...rest] = key.split('.');
   if (
     prefix !== MINTED_PREFIX ||
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,9 +1,9 @@
 /**
- * Binary: serves callers and dispatches to endpoints.
+ * Router process: serves callers and dispatches their requests to endpoints.
  */
 export * from './composition.js';
-export * from './keeper-link.js';
+export * from './keeper-connector.js';
 export * from './problem.js';
-export * from './request-life.js';
-export * from './router-attacher.js';
+export * from './request-state.js';
+export * from './router-connector.js';
 export * from './router.js';
--- a/packages/router/src/keeper-link.ts
+++ b/packages/router/src/keeper-connector.ts
@@ -9,27 +9,27 @@
   type RouterMessage,
 } from '@wisteriadeal/schema';
 
-/** A message to a keeper, before it is made. */
+/** The fields from which a message to a keeper is created. */
 export type RouterMessageInit = MessageInitShape<typeof RouterMessageSchema>;
 
-/** One open stream to one keeper. */
-export interface KeeperLink {
+/** A bidirectional message stream with one keeper. */
+export interface KeeperStream {
   send(message: RouterMessageInit): void;
-  /** Ends with an error or without one when the stream is over. */
+  /** Received messages; ends, or throws, when the stream closes. */
   readonly messages: AsyncIterable<KeeperMessage>;
-  /** Ends the stream after what was sent. */
+  /** Closes the stream after the messages already sent. */
   close(): void;
 }
 
-/** Opens streams to keepers; tests put fakes in its place. */
+/** Opens streams to keepers. */
 export abstract class KeeperConnector {
   /** @param address `IP:port` of the keeper's control services. */
-  abstract open(address: string, signal: AbortSignal): KeeperLink;
+  abstract open(address: string, signal: AbortSignal): KeeperStream;
 }
 
-/** Streams over HTTP/2 by Connect. */
+/** Opens streams with Connect over HTTP/2. */
 export class ConnectKeeperConnector extends KeeperConnector {
-  override open(address: string, signal: AbortSignal): KeeperLink {
+  override open(address: string, signal: AbortSignal): KeeperStream {
     const client = createClient(
       KeeperService,
       createConnectTransport({
@@ -53,9 +53,9 @@
 }
 
 /**
- * A keeper whose host vanished sends no reset, and the stream would stay open
- * for minutes. The ping finds it within three seconds; one a second and peer is
- * a few dozen bytes.
+ * A keeper whose host failed sends no connection reset, and the stream would stay
+ * open for minutes. Pings detect the failure within three seconds, at a cost of a
+ * few dozen bytes per second and peer.
  */
 const PING_INTERVAL_MILLISECONDS = 1_000;
 const PING_TIMEOUT_MILLISECONDS = 2_000;
--- a/packages/router/src/keeper-directory.ts
+++ b/packages/router/src/keeper-directory.ts
@@ -9,21 +9,21 @@
   type ProcessIdentity,
 } from '@wisteriadeal/schema';
 
-import type {KeeperConnector} from './keeper-link.js';
+import type {KeeperConnector} from './keeper-connector.js';
 import {KeeperSession, type KeeperSessionListener} from './keeper-session.js';
 
-/** Told of what all sessions hear together. */
-export interface DirectoryListener {
+/** Listener for changes that any of the sessions reports. */
+export interface KeeperDirectoryListener {
   configurationChanged(inForce: ConfigurationInForce): void;
   membershipChanged(): void;
-  settled(requestId: string): void;
+  settlementAcknowledged(requestId: string): void;
 }
 
-/** What the directory needs of its process. */
-export interface DirectoryOptions {
-  readonly self: () => ProcessIdentity;
+/** Dependencies and settings of the directory. */
+export interface KeeperDirectoryOptions {
+  readonly identity: () => ProcessIdentity;
   readonly dataCenter: string;
-  /** Keeper of the same host. */
+  /** `IP:port` of the keeper on the same host. */
   readonly localKeeper: string;
   readonly connector: KeeperConnector;
   readonly clock: Clock;
@@ -31,8 +31,8 @@
 }
 
 /**
- * The sessions with all keepers of the own data centre: the local one from the
- * settings, the others as membership names them.
+ * The sessions with all keepers of the router's data centre. The local keeper
+ * comes from the settings, the others from the membership.
  */
 export class KeeperDirectory implements KeeperSessionListener {
   private readonly sessions = new Map<string, KeeperSession>();
@@ -40,28 +40,28 @@
   private inForce: ConfigurationInForce | undefined;
 
   constructor(
-    private readonly options: DirectoryOptions,
-    private readonly listener: DirectoryListener,
+    private readonly options: KeeperDirectoryOptions,
+    private readonly listener: KeeperDirectoryListener,
   ) {}
 
-  /** Opens the session with the local keeper; the others follow. */
+  /** Opens the session with the local keeper; its membership names the others. */
   start(): void {
     this.openSession(this.options.localKeeper);
   }
 
-  /** The highest configuration version heard of. */
+  /** The configuration with the highest version received so far. */
   get configuration(): ConfigurationInForce | undefined {
     return this.inForce;
   }
 
-  /** The latest membership, the local keeper's where it is there. */
+  /** The local keeper's membership, or else one from another keeper. */
   get membership(): Membership | undefined {
     const local = this.sessions.get(this.options.localKeeper);
     const own = local === undefined ? undefined : this.memberships.get(local);
     return own ?? [...this.memberships.values()].at(-1);
   }
 
-  /** Endpoints that any keeper of the data centre knows to be leaving. */
+  /** Endpoints that any keeper of the data centre reports as leaving. */
   leavingEndpoints(): ReadonlySet<string> {
     return new Set(
       [...this.memberships.values()].flatMap(
@@ -70,14 +70,14 @@
     );
   }
 
-  /** Addresses of all sessions that are open, with their keepers. */
+  /** Returns all open sessions. */
   openSessions(): readonly KeeperSession[] {
     return [...this.sessions.values()].filter(
       session => session.keeper !== undefined,
     );
   }
 
-  /** The open session with an incarnation. */
+  /** Returns the open session with a keeper incarnation. */
   sessionOf(incarnation: string): KeeperSession | undefined {
     return this.openSessions().find(
       session => session.keeper?.incarnation === incarnation,
@@ -85,8 +85,9 @@
   }
 
   /**
-   * The open session with the keeper that rendezvous hashing names among those
-   * in reach. Hashing only chooses who is efficient; grants keep spend safe.
+   * Returns the session of the keeper that rendezvous hashing selects among the
+   * reachable ones; leaving keepers only if there are no others. The selection
+   * only affects efficiency: the grants limit spending whichever keeper is used.
    */
   holderOf(organisation: string): KeeperSession | undefined {
     const open = this.openSessions();
@@ -98,7 +99,7 @@
     return holder === undefined ? undefined : this.sessionOf(holder);
   }
 
-  heard(session: KeeperSession, message: KeeperMessage): void {
+  messageReceived(session: KeeperSession, message: KeeperMessage): void {
     const {kind} = message;
     switch (kind.case) {
       case 'configuration':
@@ -106,25 +107,25 @@
         return;
       case 'membership':
         this.memberships.set(session, kind.value);
-        this.openNamedSessions(kind.value);
+        this.openMemberSessions(kind.value);
         this.listener.membershipChanged();
         return;
       case 'settleAnswer':
-        this.listener.settled(kind.value.requestId);
+        this.listener.settlementAcknowledged(kind.value.requestId);
         return;
       default:
         return;
     }
   }
 
-  changed(session: KeeperSession): void {
+  stateChanged(session: KeeperSession): void {
     if (session.keeper === undefined) {
       this.memberships.delete(session);
     }
     this.listener.membershipChanged();
   }
 
-  /** Says goodbye to every keeper and ends all sessions. */
+  /** Sends a goodbye to every keeper and closes all sessions. */
   async close(): Promise<void> {
     const sessions = [...this.sessions.values()];
     for (const session of sessions) {
@@ -134,15 +135,16 @@
   }
 
   /**
-   * A keeper that restarted, or was cut off, may know only an older version.
-   * Taking it would revert what an operator published, so versions only rise.
+   * Applies a configuration if its version is higher than the current one. A
+   * keeper that restarted or was partitioned may send an older version, which
+   * would revert what an operator published.
    */
-  private applyConfiguration(heard: ConfigurationInForce): void {
-    if (heard.version <= (this.inForce?.version ?? 0)) {
+  private applyConfiguration(received: ConfigurationInForce): void {
+    if (received.version <= (this.inForce?.version ?? 0)) {
       return;
     }
-    this.inForce = heard;
-    this.listener.configurationChanged(heard);
+    this.inForce = received;
+    this.listener.configurationChanged(received);
   }
 
   private isLeaving(session: KeeperSession): boolean {
@@ -155,21 +157,26 @@
     );
   }
 
-  private openNamedSessions(membership: Membership): void {
-    const named = new Set([this.options.localKeeper]);
+  private openMemberSessions(membership: Membership): void {
+    const memberAddresses = new Set([this.options.localKeeper]);
     for (const {identity} of membership.keepers) {
       if (identity?.dataCenter === this.options.dataCenter) {
-        named.add(identity.controlAddress);
+        memberAddresses.add(identity.controlAddress);
         this.openSession(identity.controlAddress);
       }
     }
-    this.closeUnnamedSessions(named);
+    this.closeFormerMemberSessions(memberAddresses);
   }
 
-  /** A replaced host's address is never dialled for ever. */
-  private closeUnnamedSessions(named: ReadonlySet<string>): void {
+  /**
+   * Closes sessions without a connection whose address left the membership, so a
+   * replaced host's address is not dialled indefinitely.
+   */
+  private closeFormerMemberSessions(
+    memberAddresses: ReadonlySet<string>,
+  ): void {
     for (const [address, session] of this.sessions) {
-      if (!named.has(address) && session.keeper === undefined) {
+      if (!memberAddresses.has(address) && session.keeper === undefined) {
         this.sessions.delete(address);
         void session.close();
       }
@@ -180,10 +187,10 @@
     if (this.sessions.has(address)) {
       return;
     }
-    const {self, connector, clock, log} = this.options;
+    const {identity, connector, clock, log} = this.options;
     this.sessions.set(
       address,
-      new KeeperSession(address, self, connector, clock, log, this),
+      new KeeperSession(address, identity, connector, clock, log, this),
     );
   }
 }
--- a/packages/router/src/keeper-session.ts
+++ b/packages/router/src/keeper-session.ts
@@ -8,11 +8,11 @@
 
 import type {
   KeeperConnector,
-  KeeperLink,
+  KeeperStream,
   RouterMessageInit,
-} from './keeper-link.js';
+} from './keeper-connector.js';
 
-/** The parts of BeginRequest that the caller of `begin` fills in. */
+/** The fields of BeginRequest that describe the request. */
 export interface BeginFields {
   readonly requestId: string;
   readonly organisation: string;
@@ -27,17 +27,17 @@
   readonly claimUnused: boolean;
 }
 
-/** One try to begin a request. */
+/** One attempt to begin a request. */
 export interface NumberedBegin extends BeginFields {
-  /** Names the try among all of this router. */
+  /** Identifies the begin among all begins of this router. */
   readonly beginNumber: number;
 }
 
-/** Told of what a session hears. */
+/** Listener for the messages and state changes of a session. */
 export interface KeeperSessionListener {
-  heard(session: KeeperSession, message: KeeperMessage): void;
-  /** The session opened (a welcome came) or was lost. */
-  changed(session: KeeperSession): void;
+  messageReceived(session: KeeperSession, message: KeeperMessage): void;
+  /** Called when the session opened (a welcome was received) or was lost. */
+  stateChanged(session: KeeperSession): void;
 }
 
 interface PendingBegin {
@@ -45,26 +45,26 @@
   readonly reject: (error: StepError) => void;
 }
 
-const RECONNECT_MILLISECONDS = 100;
+const RECONNECT_DELAY_MILLISECONDS = 100;
 
 /**
- * A begin that takes longer counts as lost. It covers what the holder may wait
- * for: tokens (2 s), a lost holder's grant (5 s more), and the round trips. A
- * holder that vanished is noticed sooner, by its connection.
+ * Time after which an unanswered begin counts as lost. It covers the holder's
+ * waits for tokens (2 s) and for a lost holder's grant (5 s more), and the round
+ * trips. A failed holder is detected earlier, when its connection closes.
  */
 const BEGIN_TIMEOUT_MILLISECONDS = 8_000;
 
 const BEGIN_STEP = 'begin at the holder';
 
 /**
- * The session with one keeper: one task that connects, listens and connects
- * again until it is closed.
+ * The session with one keeper. A single task connects, receives messages, and
+ * reconnects until the session is closed.
  */
 export class KeeperSession {
-  private link: KeeperLink | undefined;
-  private welcome: ProcessIdentity | undefined;
+  private stream: KeeperStream | undefined;
+  private welcomedBy: ProcessIdentity | undefined;
   private sequence = 0;
-  private welcomedAt = Number.POSITIVE_INFINITY;
+  private openedAt = Number.POSITIVE_INFINITY;
   private readonly pending = new Map<number, PendingBegin>();
   private readonly stop = new AbortController();
   private readonly task: Promise<void>;
@@ -72,7 +72,7 @@
   constructor(
     /** `IP:port` of the keeper. */
     readonly address: string,
-    private readonly self: () => ProcessIdentity,
+    private readonly identity: () => ProcessIdentity,
     private readonly connector: KeeperConnector,
     private readonly clock: Clock,
     private readonly log: EventLog,
@@ -81,30 +81,34 @@
     this.task = this.run();
   }
 
-  /** The keeper at the other end; undefined while there is none. */
+  /** The keeper's identity; undefined while the session is not open. */
   get keeper(): ProcessIdentity | undefined {
-    return this.welcome;
+    return this.welcomedBy;
   }
 
-  /** When the session opened, on the monotonic clock; infinity while it isn't. */
+  /**
+   * Monotonic time in milliseconds at which the session opened; infinity while it
+   * is not open.
+   */
   get openSince(): number {
-    return this.welcomedAt;
+    return this.openedAt;
   }
 
-  /** Sends a message if the session is open. */
+  /** Sends a message; returns false if the session is not open. */
   send(message: RouterMessageInit): boolean {
-    if (this.welcome === undefined || this.link === undefined) {
+    if (this.welcomedBy === undefined || this.stream === undefined) {
       return false;
     }
-    this.link.send(message);
+    this.stream.send(message);
     return true;
   }
 
   /**
-   * Asks the keeper to begin a request.
+   * Sends a begin and waits for the keeper's verdict.
    *
-   * @throws StepError; fate NotDone where nothing was sent, else Unknown: the
-   *     keeper may have reserved, and the caller has to abandon the request.
+   * @throws StepError with fate NotDone if nothing was sent; with fate Unknown if
+   *     no verdict arrived: the keeper may have made a reservation, so the request
+   *     must be abandoned.
    */
   async begin(begin: NumberedBegin): Promise<BeginAnswer> {
     const sequence = ++this.sequence;
@@ -120,7 +124,7 @@
     }
     const timer = new AbortController();
     void this.clock.sleep(BEGIN_TIMEOUT_MILLISECONDS, timer.signal).then(() => {
-      this.fail(sequence, 'timeout');
+      this.rejectBegin(sequence, 'timeout');
     });
     try {
       return await answer;
@@ -129,13 +133,16 @@
     }
   }
 
-  /** Ends the session; a Goodbye sent before is delivered. */
+  /**
+   * Closes the session. A goodbye sent before has the reconnect delay to be
+   * delivered.
+   */
   async close(): Promise<void> {
-    this.link?.close();
+    this.stream?.close();
     const limit = new AbortController();
     await Promise.race([
       this.task,
-      this.clock.sleep(RECONNECT_MILLISECONDS, limit.signal),
+      this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, limit.signal),
     ]);
     limit.abort();
     this.stop.abort();
@@ -144,20 +151,20 @@
 
   private async run(): Promise<void> {
     while (!this.stop.signal.aborted) {
-      const reason = await this.converse();
-      this.lost(reason);
-      await this.clock.sleep(RECONNECT_MILLISECONDS, this.stop.signal);
+      const reason = await this.runStream();
+      this.handleStreamEnd(reason);
+      await this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, this.stop.signal);
     }
   }
 
-  /** One stream from open to end; returns why it ended. */
-  private async converse(): Promise<string> {
+  /** Runs one stream from open to end; returns the reason for its end. */
+  private async runStream(): Promise<string> {
     try {
-      const link = this.connector.open(this.address, this.stop.signal);
-      this.link = link;
-      link.send({kind: {case: 'hello', value: this.self()}});
-      for await (const message of link.messages) {
-        this.hear(message);
+      const stream = this.connector.open(this.address, this.stop.signal);
+      this.stream = stream;
+      stream.send({kind: {case: 'hello', value: this.identity()}});
+      for await (const message of stream.messages) {
+        this.handleMessage(message);
       }
       return 'the keeper ended the session';
     } catch (error) {
@@ -165,39 +172,39 @@
     }
   }
 
-  private hear(message: KeeperMessage): void {
+  private handleMessage(message: KeeperMessage): void {
     const {kind} = message;
     if (kind.case === 'welcome') {
-      this.welcome = kind.value;
-      this.welcomedAt = this.clock.monotonicMilliseconds();
+      this.welcomedBy = kind.value;
+      this.openedAt = this.clock.monotonicMilliseconds();
       this.log.info('keeper-session-open', {
         peer: this.address,
         keeper: kind.value.incarnation,
       });
-      this.listener.changed(this);
+      this.listener.stateChanged(this);
     } else if (kind.case === 'beginAnswer') {
       this.pending.get(kind.value.sequence)?.resolve(kind.value);
       this.pending.delete(kind.value.sequence);
     } else {
-      this.listener.heard(this, message);
+      this.listener.messageReceived(this, message);
     }
   }
 
-  private lost(reason: string): void {
-    const wasOpen = this.welcome !== undefined;
-    this.link = undefined;
-    this.welcome = undefined;
-    this.welcomedAt = Number.POSITIVE_INFINITY;
+  private handleStreamEnd(reason: string): void {
+    const wasOpen = this.welcomedBy !== undefined;
+    this.stream = undefined;
+    this.welcomedBy = undefined;
+    this.openedAt = Number.POSITIVE_INFINITY;
     for (const sequence of [...this.pending.keys()]) {
-      this.fail(sequence, reason);
+      this.rejectBegin(sequence, reason);
     }
     if (wasOpen) {
       this.log.warn('keeper-session-lost', {peer: this.address, reason});
-      this.listener.changed(this);
+      this.listener.stateChanged(this);
     }
   }
 
-  private fail(sequence: number, reason: string): void {
+  private rejectBegin(sequence: number, reason: string): void {
     const pending = this.pending.get(sequence);
     this.pending.delete(sequence);
     pending?.reject(
--- a/packages/router/src/load-dispatcher.ts
+++ b/packages/router/src/load-dispatcher.ts
@@ -11,35 +11,42 @@
 import type {Clock} from '@wisteriadeal/platform';
 import {Err, Ok, type Result} from '@wisteriadeal/runtime';
 
-import type {Placement} from './request-life.js';
+import type {Placement} from './request-state.js';
 
-/** What came of an offer in the end. */
-export type Placing = Result<Placement, RefuseDecision | 'withdrawn'>;
+/** Final result of a placement request. */
+export type PlacementResult = Result<Placement, RefuseDecision | 'withdrawn'>;
 
 /**
- * Carries the decisions of the pure core to the requests that wait for them, and
- * wakes the core when it asks to be woken.
+ * Delivers the decisions of the load core, which does no I/O, to the waiting
+ * requests, and advances the core when its next timer is due.
  */
 export class LoadDispatcher {
-  private readonly waiting = new Map<string, (placing: Placing) => void>();
-  private wake = new AbortController();
+  private readonly waiting = new Map<
+    string,
+    (placement: PlacementResult) => void
+  >();
+  private wakeTimer = new AbortController();
 
   constructor(
     private readonly core: LoadCore,
     private readonly clock: Clock,
   ) {}
 
-  /** Requests that wait for an endpoint. */
+  /** Number of requests that wait for an endpoint. */
   get queued(): number {
     return this.waiting.size;
   }
 
-  /** Offers work and waits until it is placed, refused or withdrawn. */
-  place(item: WorkItem, signal: AbortSignal): Promise<Placing> {
-    const placing = new Promise<Placing>(resolve => {
+  /**
+   * Offers a work item and waits until it is placed, refused or withdrawn.
+   *
+   * @param signal Withdraws the item when aborted.
+   */
+  place(item: WorkItem, signal: AbortSignal): Promise<PlacementResult> {
+    const placement = new Promise<PlacementResult>(resolve => {
       this.waiting.set(item.requestId, resolve);
     });
-    this.carry([this.core.offer(item, this.now())]);
+    this.applyDecisions([this.core.offer(item, this.now())]);
     const withdraw = () => {
       this.withdraw(item.requestId);
     };
@@ -47,34 +54,34 @@
     if (signal.aborted) {
       withdraw();
     }
-    return placing.finally(() => {
+    return placement.finally(() => {
       signal.removeEventListener('abort', withdraw);
     });
   }
 
-  /** The endpoint began to answer. */
+  /** Reports that the endpoint began to answer. */
   firstToken(requestId: string): void {
     this.core.firstToken(requestId, this.now());
   }
 
-  /** Placed work has ended in whatever way. */
+  /** Reports that placed work has ended, with any outcome. */
   finished(requestId: string, result: WorkResult): void {
-    this.carry(this.core.finished(requestId, result, this.now()));
+    this.applyDecisions(this.core.finished(requestId, result, this.now()));
   }
 
-  /** Takes the endpoints as they are now. */
+  /** Replaces the list of endpoints. */
   updateEndpoints(endpoints: readonly EndpointDescription[]): void {
-    this.carry(this.core.updateEndpoints(endpoints, this.now()));
+    this.applyDecisions(this.core.updateEndpoints(endpoints, this.now()));
   }
 
-  /** Takes an engine's report. */
+  /** Passes on an engine's load report. */
   report(endpoint: string, report: EngineLoadReport): void {
-    this.carry(this.core.report(endpoint, report, this.now()));
+    this.applyDecisions(this.core.report(endpoint, report, this.now()));
   }
 
-  /** Stops waking the core. */
+  /** Stops the timer that advances the core. */
   close(): void {
-    this.wake.abort();
+    this.wakeTimer.abort();
   }
 
   private withdraw(requestId: string): void {
@@ -82,7 +89,7 @@
     if (resolve !== undefined) {
       this.waiting.delete(requestId);
       resolve(Err('withdrawn'));
-      this.carry(this.core.withdraw(requestId, this.now()));
+      this.applyDecisions(this.core.withdraw(requestId, this.now()));
     }
   }
 
@@ -90,7 +97,7 @@
     return this.clock.monotonicMilliseconds();
   }
 
-  private carry(decisions: readonly Decision[]): void {
+  private applyDecisions(decisions: readonly Decision[]): void {
     for (const decision of decisions) {
       const resolve = this.waiting.get(decision.requestId);
       if (decision.kind === DecisionKind.Queue) {
@@ -103,21 +110,21 @@
           : Err(decision),
       );
     }
-    this.schedule();
+    this.scheduleWake();
   }
 
-  private schedule(): void {
-    this.wake.abort();
-    const at = this.core.nextWakeAt();
-    if (at === undefined) {
+  private scheduleWake(): void {
+    this.wakeTimer.abort();
+    const wakeAt = this.core.nextWakeAt();
+    if (wakeAt === undefined) {
       return;
     }
-    const wake = new AbortController();
-    this.wake = wake;
-    const delay = Math.max(0, at - this.now());
-    void this.clock.sleep(delay, wake.signal).then(() => {
-      if (!wake.signal.aborted) {
-        this.carry(this.core.advance(this.now()));
+    const wakeTimer = new AbortController();
+    this.wakeTimer = wakeTimer;
+    const delay = Math.max(0, wakeAt - this.now());
+    void this.clock.sleep(delay, wakeTimer.signal).then(() => {
+      if (!wakeTimer.signal.aborted) {
+        this.applyDecisions(this.core.advance(this.now()));
       }
     });
   }
--- a/packages/router/src/model-work.ts
+++ b/packages/router/src/model-work.ts
@@ -15,45 +15,46 @@
 import {endChunks, textChunk} from './completion-chunks.js';
 import {EndpointWork, type RunHooks, type RunResult} from './endpoint-work.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import type {Attempt} from './request-life.js';
+import type {Attempt} from './request-state.js';
 
 /**
- * A truncated stream is resumed at its engine this often. Two cover a dropped
- * connection and one more while the engine recovers; beyond that the caller is
- * better served by knowing.
+ * Maximum number of times a truncated stream is resumed at its engine. Two cover
+ * a dropped connection and a second one while the engine recovers; after that,
+ * reporting the failure serves the caller better than further delay.
  */
 const MAXIMUM_RESUMES = 2;
-const RESUME_PAUSE_MILLISECONDS = 100;
+const RESUME_DELAY_MILLISECONDS = 100;
 
 /**
- * An engine that sends nothing for this long has lost the stream, or its host
- * has vanished without a reset. Long prompts in a full batch take seconds.
+ * Time without an event after which a stream counts as lost: the engine has lost
+ * it, or its host has failed without a connection reset. Long prompts in a full
+ * batch take seconds, so the timeout is well above that.
  */
-const STALL_MILLISECONDS = 10_000;
+const STALL_TIMEOUT_MILLISECONDS = 10_000;
 
-/** A cancelled or lost attempt's usage is asked for at most this long. */
+/** Timeout for querying the usage of a cancelled or lost attempt. */
 const USAGE_TIMEOUT_MILLISECONDS = 2_000;
 
 const STREAM_STEP = 'read the stream';
 
-/** The completion without what each attempt adds. */
+/** A completion request without the fields that differ for each attempt. */
 export type CompletionTemplate = Omit<CompletionRequest, 'attemptId'>;
 
-/** One attempt while it is read. */
-interface Reading {
+/** State of reading the stream of one attempt. */
+interface ReadState {
   readonly engine: ModelEngine;
   readonly attempt: Attempt;
   readonly answer: Answer;
   readonly hooks: RunHooks;
-  /** Events that the engine has sent, in its own count. */
+  /** Number of events received from the engine, and index of the next one. */
   received: number;
 }
 
-/** A completion at a model engine. */
+/** Runs a completion at a model engine. */
 export class ModelWork extends EndpointWork {
   constructor(
     private readonly completion: CompletionTemplate,
-    private readonly engineOf: (endpoint: string) => ModelEngine | undefined,
+    private readonly findEngine: (endpoint: string) => ModelEngine | undefined,
     private readonly clock: Clock,
   ) {
     super();
@@ -64,28 +65,28 @@
     answer: Answer,
     hooks: RunHooks,
   ): Promise<RunResult> {
-    const engine = this.engineOf(attempt.endpoint);
+    const engine = this.findEngine(attempt.endpoint);
     if (engine === undefined) {
       throw new StepError(
         'dispatch',
         attempt.endpoint,
         Fate.NotDone,
-        'unknown',
+        'the endpoint has no engine client',
       );
     }
-    const reading = {engine, attempt, answer, hooks, received: 0};
+    const state = {engine, attempt, answer, hooks, received: 0};
     const {attemptId} = attempt;
     try {
       const request = {...this.completion, attemptId};
-      return await this.follow(
-        reading,
+      return await this.readToEnd(
+        state,
         await engine.start(request, answer.abandoned),
       );
     } catch (error) {
       if (error instanceof StepError && error.fate === Fate.NotDone) {
         throw error;
       }
-      return this.follow(reading, undefined);
+      return this.readToEnd(state, undefined);
     }
   }
 
@@ -94,100 +95,101 @@
     answer: Answer,
     hooks: RunHooks,
   ): Promise<RunResult> {
-    const engine = this.engineOf(attempt.endpoint);
+    const engine = this.findEngine(attempt.endpoint);
     if (engine === undefined) {
       return Promise.resolve(
-        this.untraceable(attempt, 'its endpoint is not known'),
+        this.unknownResult(attempt, 'the endpoint has no engine client'),
       );
     }
-    const reading = {engine, attempt, answer, hooks, received: 0};
-    return this.follow(reading, undefined);
+    const state = {engine, attempt, answer, hooks, received: 0};
+    return this.readToEnd(state, undefined);
   }
 
   /**
-   * Reads until the end mark. A stream without one is truncated, whatever closed
-   * it: it is resumed at the engine, and reported as failed where that does not
-   * help. It never counts as whole.
+   * Reads the stream until its end event. A stream that closes without one is
+   * truncated, whatever closed it. It is resumed at the engine, and reported as
+   * failed after the last resume; it is never treated as complete.
    */
-  private async follow(
-    reading: Reading,
+  private async readToEnd(
+    state: ReadState,
     first: EngineStream | undefined,
   ): Promise<RunResult> {
     let stream = first;
     let failure: unknown;
     for (let resumes = 0; ; resumes++) {
       try {
-        stream ??= await reading.engine.resume(
-          reading.attempt.attemptId,
-          reading.received - 1,
-          reading.answer.abandoned,
+        stream ??= await state.engine.resume(
+          state.attempt.attemptId,
+          state.received - 1,
+          state.answer.abandoned,
         );
-        const end = await this.copy(reading, stream);
-        return this.ended(reading, end);
+        const end = await this.copyEvents(state, stream);
+        return this.finishAnswer(state, end);
       } catch (error) {
         failure = error;
         stream?.detach();
         stream = undefined;
       }
-      if (reading.answer.abandoned.aborted) {
-        return this.cancelled(reading);
+      if (state.answer.abandoned.aborted) {
+        return this.cancelledResult(state);
       }
       if (resumes >= MAXIMUM_RESUMES) {
-        return this.givenUp(reading, failure);
+        return this.resultOfLostStream(state, failure);
       }
-      await this.clock.sleep(RESUME_PAUSE_MILLISECONDS * (resumes + 1));
+      await this.clock.sleep(RESUME_DELAY_MILLISECONDS * (resumes + 1));
     }
   }
 
-  private async copy(
-    reading: Reading,
+  private async copyEvents(
+    state: ReadState,
     stream: EngineStream,
   ): Promise<EngineEnd> {
-    const {attempt, answer, hooks} = reading;
+    const {attempt, answer, hooks} = state;
     if (stream.attemptId !== attempt.attemptId) {
-      throw this.streamError(attempt, 'the answer is another attempt’s');
+      throw this.streamError(attempt, 'the stream belongs to another attempt');
     }
     const events = stream.events[Symbol.asyncIterator]();
     for (;;) {
-      const next = await this.within(attempt, answer, events.next());
+      const next = await this.withStallTimeout(attempt, answer, events.next());
       if (next.done === true) {
         break;
       }
-      this.take(reading, next.value);
+      this.acceptEvent(state, next.value);
       hooks.started();
     }
     if (stream.end === undefined) {
-      throw this.streamError(attempt, 'truncated: there is no end mark');
+      throw this.streamError(attempt, 'the stream closed without an end event');
     }
     return stream.end;
   }
 
-  private take(reading: Reading, event: EngineEvent): void {
-    const {attempt, answer} = reading;
-    if (event.index !== reading.received) {
+  private acceptEvent(state: ReadState, event: EngineEvent): void {
+    const {attempt, answer} = state;
+    if (event.index !== state.received) {
       throw this.streamError(
         attempt,
-        `event ${event.index} came where ${reading.received} was due`,
+        `received event ${event.index} instead of event ${state.received}`,
       );
     }
-    reading.received++;
-    answer.begin({status: 200, contentType: 'text/event-stream'});
-    // A joined answer may hold more than the resumed engine has repeated yet.
+    state.received++;
+    answer.setHead({status: 200, contentType: 'text/event-stream'});
+    // The answer may have more events, copied from another router, than the
+    // resumed engine has repeated so far.
     if (event.index >= answer.events.length) {
       answer.append(textChunk(answer, this.completion.model, event.text));
     }
   }
 
-  private ended(reading: Reading, end: EngineEnd): RunResult {
+  private finishAnswer(state: ReadState, end: EngineEnd): RunResult {
     if (end.finishReason === FinishReason.Cancelled) {
-      return this.broken(
-        reading.attempt,
+      return this.failedResult(
+        state.attempt,
         end.usage,
         'the engine cancelled the stream',
       );
     }
-    const {answer, received} = reading;
-    answer.begin({status: 200, contentType: 'text/event-stream'});
+    const {answer, received} = state;
+    answer.setHead({status: 200, contentType: 'text/event-stream'});
     const chunks = endChunks(answer, this.completion.model, end);
     for (const [index, chunk] of chunks.entries()) {
       if (received + index >= answer.events.length) {
@@ -202,44 +204,49 @@
     };
   }
 
-  private async cancelled(reading: Reading): Promise<RunResult> {
-    const usage = await this.stopAndAsk(reading);
+  private async cancelledResult(state: ReadState): Promise<RunResult> {
+    const usage = await this.cancelAndGetUsage(state);
     return {
-      ...this.broken(reading.attempt, usage, 'the caller hung up'),
+      ...this.failedResult(state.attempt, usage, 'the caller disconnected'),
       cancelled: true,
     };
   }
 
-  private async givenUp(
-    reading: Reading,
+  private async resultOfLostStream(
+    state: ReadState,
     failure: unknown,
   ): Promise<RunResult> {
-    const usage = await this.stopAndAsk(reading);
+    const usage = await this.cancelAndGetUsage(state);
     const reason = failure instanceof Error ? failure.message : String(failure);
-    if (reading.received > 0 || usage !== undefined) {
-      return this.broken(reading.attempt, usage, reason);
+    if (state.received > 0 || usage !== undefined) {
+      return this.failedResult(state.attempt, usage, reason);
     }
-    return this.untraceable(reading.attempt, reason);
+    return this.unknownResult(state.attempt, reason);
   }
 
-  private untraceable(attempt: Attempt, reason: string): RunResult {
+  private unknownResult(attempt: Attempt, reason: string): RunResult {
     return {
       outcome: AnswerOutcome.Unknown,
       cancelled: false,
       usage: undefined,
       problem: new Problem(ProblemName.OutcomeUnknown, {
-        detail: `nobody can be asked what became of it: ${reason}`,
+        detail: `the outcome of the attempt cannot be determined: ${reason}`,
         step: STREAM_STEP,
         peer: attempt.endpoint,
       }),
     };
   }
 
-  /** Stops the work, so that nobody pays for more, and learns its usage. */
-  private async stopAndAsk(reading: Reading): Promise<EngineUsage | undefined> {
+  /**
+   * Cancels the attempt, so that no further tokens are billed, and returns its
+   * usage; undefined if the engine does not know it or can't be reached.
+   */
+  private async cancelAndGetUsage(
+    state: ReadState,
+  ): Promise<EngineUsage | undefined> {
     try {
-      const status = await reading.engine.cancel(
-        reading.attempt.attemptId,
+      const status = await state.engine.cancel(
+        state.attempt.attemptId,
         AbortSignal.timeout(USAGE_TIMEOUT_MILLISECONDS),
       );
       return status.known ? status.usage : undefined;
@@ -248,7 +255,7 @@
     }
   }
 
-  private broken(
+  private failedResult(
     attempt: Attempt,
     usage: EngineUsage | undefined,
     detail: string,
@@ -269,29 +276,37 @@
     return new StepError(STREAM_STEP, attempt.endpoint, Fate.Unknown, reason);
   }
 
-  /** Waits for the next event, a stall, or the caller's going. */
-  private async within<Value>(
+  /**
+   * Waits for the next event.
+   *
+   * @throws StepError if none arrives within the stall timeout, or the caller
+   *     disconnects for good.
+   */
+  private async withStallTimeout<Value>(
     attempt: Attempt,
     answer: Answer,
     step: Promise<Value>,
   ): Promise<Value> {
-    const over = new AbortController();
-    const signal = AbortSignal.any([over.signal, answer.abandoned]);
+    const timer = new AbortController();
+    const signal = AbortSignal.any([timer.signal, answer.abandoned]);
     const stalled = this.clock
-      .sleep(STALL_MILLISECONDS, signal)
+      .sleep(STALL_TIMEOUT_MILLISECONDS, signal)
       .then((): never => {
-        throw this.streamError(attempt, 'stalled, or left by its caller');
+        throw this.streamError(
+          attempt,
+          'the stream stalled or the caller disconnected',
+        );
       });
     stalled.catch(() => {
-      // Whoever lost the race is of no interest.
+      // Avoids an unhandled rejection if the event arrives before the timeout.
     });
     try {
       return await Promise.race([step, stalled]);
     } finally {
       step.catch(() => {
-        // The stream is detached after a stall; its last error says nothing.
+        // The stream is detached after a stall, so its later error is ignored.
       });
-      over.abort();
+      timer.abort();
     }
   }
 }
--- a/packages/router/src/plain-work.ts
+++ b/packages/router/src/plain-work.ts
@@ -10,23 +10,25 @@
 import type {Answer} from './answer.js';
 import {EndpointWork, type RunHooks, type RunResult} from './endpoint-work.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import type {Attempt} from './request-life.js';
+import type {Attempt} from './request-state.js';
 
-/** An answer that takes longer counts as lost. */
+/** Time after which the answer to a call counts as lost. */
 const CALL_TIMEOUT_MILLISECONDS = 10_000;
 const LOOK_UP_TIMEOUT_MILLISECONDS = 2_000;
 
 const CALL_STEP = 'call the service';
 
-/** The call without what each attempt adds. */
+/** A call without the fields that differ for each attempt. */
 export type PlainCallTemplate = Omit<PlainCall, 'attemptId'>;
 
-/** A call of a plain service. */
+/** Calls a plain service. */
 export class PlainWork extends EndpointWork {
   constructor(
     private readonly template: PlainCallTemplate,
     private readonly call: Call,
-    private readonly serviceOf: (endpoint: string) => PlainService | undefined,
+    private readonly findService: (
+      endpoint: string,
+    ) => PlainService | undefined,
   ) {
     super();
   }
@@ -36,17 +38,26 @@
     answer: Answer,
     hooks: RunHooks,
   ): Promise<RunResult> {
-    const service = this.serviceOf(attempt.endpoint);
+    const service = this.findService(attempt.endpoint);
     if (service === undefined) {
-      throw new StepError(CALL_STEP, attempt.endpoint, Fate.NotDone, 'unknown');
+      throw new StepError(
+        CALL_STEP,
+        attempt.endpoint,
+        Fate.NotDone,
+        'the endpoint has no service client',
+      );
     }
     try {
-      return this.answered(await this.send(service, attempt), answer, hooks);
+      return this.answeredResult(
+        await this.send(service, attempt),
+        answer,
+        hooks,
+      );
     } catch (error) {
       if (error instanceof StepError && error.fate === Fate.NotDone) {
         throw error;
       }
-      return this.lost(service, attempt, answer, hooks, error);
+      return this.recoverAnswer(service, attempt, answer, hooks, error);
     }
   }
 
@@ -55,10 +66,16 @@
     answer: Answer,
     hooks: RunHooks,
   ): Promise<RunResult> {
-    const service = this.serviceOf(attempt.endpoint);
+    const service = this.findService(attempt.endpoint);
     return service === undefined
-      ? this.unknown(attempt, 'the endpoint is no longer configured')
-      : this.lost(service, attempt, answer, hooks, 'its router was lost');
+      ? this.unknownResult(attempt, 'the endpoint is no longer configured')
+      : this.recoverAnswer(
+          service,
+          attempt,
+          answer,
+          hooks,
+          'the router that dispatched the call was lost',
+        );
   }
 
   private send(service: PlainService, attempt: Attempt): Promise<PlainAnswer> {
@@ -69,11 +86,11 @@
   }
 
   /**
-   * The answer was lost after the call may have taken effect. An idempotent call
-   * is made once more; any other is never repeated, but looked up where the
-   * service offers it.
+   * Recovers an answer that was lost after the call may have taken effect. An
+   * idempotent call is repeated once. Any other call is never repeated; its
+   * outcome is looked up if the service has an outcome path.
    */
-  private async lost(
+  private async recoverAnswer(
     service: PlainService,
     attempt: Attempt,
     answer: Answer,
@@ -83,20 +100,20 @@
     try {
       const found = this.call.idempotent
         ? await this.send(service, attempt)
-        : await this.lookUp(service);
+        : await this.lookUpOutcome(service);
       if (found !== undefined) {
-        return this.answered(found, answer, hooks);
+        return this.answeredResult(found, answer, hooks);
       }
     } catch {
-      // What became of the first call stays unknown.
+      // The outcome of the first call remains unknown.
     }
-    return this.unknown(
+    return this.unknownResult(
       attempt,
       reason instanceof Error ? reason.message : String(reason),
     );
   }
 
-  private async lookUp(
+  private async lookUpOutcome(
     service: PlainService,
   ): Promise<PlainAnswer | undefined> {
     return this.call.outcomePath === ''
@@ -108,13 +125,13 @@
         );
   }
 
-  private answered(
+  private answeredResult(
     found: PlainAnswer,
     answer: Answer,
     hooks: RunHooks,
   ): RunResult {
     hooks.started();
-    answer.begin({status: found.status, contentType: found.contentType});
+    answer.setHead({status: found.status, contentType: found.contentType});
     answer.append(found.body);
     return {
       outcome: AnswerOutcome.Answered,
@@ -124,11 +141,11 @@
     };
   }
 
-  private unknown(attempt: Attempt, reason: string): RunResult {
+  private unknownResult(attempt: Attempt, reason: string): RunResult {
     const lookUp =
       this.call.outcomePath === ''
         ? 'the service offers no way to look it up'
-        : `the service tells at ${this.call.outcomePath}?requestId=${this.template.requestId}`;
+        : `the service reports the outcome at ${this.call.outcomePath}?requestId=${this.template.requestId}`;
     return {
       outcome: AnswerOutcome.Unknown,
       cancelled: false,
--- a/packages/router/src/problem.ts
+++ b/packages/router/src/problem.ts
@@ -1,14 +1,14 @@
 import {STATUS_CODES} from 'node:http';
 
-/** What a caller is told of a request; never blurred. */
+/** Outcome of a request as reported to its caller. */
 export enum AnswerOutcome {
-  /** The whole answer was sent. */
+  /** The complete answer was sent. */
   Answered = 'answered',
-  /** It never reached an endpoint, and this submission never will. */
+  /** The request never reached an endpoint, and this submission never will. */
   NotRun = 'not-run',
-  /** An endpoint worked on it, and there is no whole answer. */
+  /** An endpoint worked on the request, but there is no complete answer. */
   Failed = 'failed',
-  /** Nobody can tell whether it ran. */
+  /** It cannot be determined whether the request ran. */
   Unknown = 'unknown',
 }
 
@@ -61,18 +61,19 @@
   [ProblemName.AnswerGone]: AnswerOutcome.Answered,
 };
 
-/** What may be said of a problem besides its name. */
+/** Details of a problem besides its name. */
 export interface ProblemDetails {
   readonly detail: string;
   readonly requestId?: string;
   readonly retryAfterMilliseconds?: number;
-  /** The step and the peer at which it arose. */
+  /** The step in which the problem arose. */
   readonly step?: string;
+  /** The peer at which the problem arose. */
   readonly peer?: string;
 }
 
 /**
- * A final answer that is not the one asked for, as problem details (RFC 9457).
+ * A request's end without the requested answer, as problem details (RFC 9457).
  *
  * @example
  * ```ts
@@ -85,8 +86,8 @@
   constructor(
     readonly problem: ProblemName,
     readonly details: ProblemDetails,
-    /** Where the outcome differs from the name's own. */
-    private readonly otherOutcome?: AnswerOutcome,
+    /** Outcome, if it differs from the default of the problem's name. */
+    private readonly customOutcome?: AnswerOutcome,
   ) {
     super(`${problem}: ${details.detail}`);
   }
@@ -96,12 +97,12 @@
     return STATUSES[this.problem];
   }
 
-  /** What the caller may conclude about the request. */
+  /** Outcome of the request as reported to its caller. */
   get outcome(): AnswerOutcome {
-    return this.otherOutcome ?? OUTCOMES[this.problem] ?? AnswerOutcome.NotRun;
+    return this.customOutcome ?? OUTCOMES[this.problem] ?? AnswerOutcome.NotRun;
   }
 
-  /** Seconds for the `Retry-After` header, rounded up. */
+  /** Seconds for the `Retry-After` header, rounded up, at least 1. */
   get retryAfterSeconds(): number | undefined {
     const milliseconds = this.details.retryAfterMilliseconds;
     return milliseconds === undefined
@@ -109,16 +110,16 @@
       : Math.max(1, Math.ceil(milliseconds / 1_000));
   }
 
-  /** The same problem for a named request. */
+  /** Returns a copy of the problem with a request identifier. */
   forRequest(requestId: string): Problem {
     return new Problem(
       this.problem,
       {...this.details, requestId},
-      this.otherOutcome,
+      this.customOutcome,
     );
   }
 
-  /** The problem-details document. */
+  /** Returns the problem-details document. */
   toJSON(): Readonly<Record<string, string | number>> {
     return {
       type: `urn:wisteriadeal:problem:${this.problem}`,
--- a/packages/router/src/request-body.ts
+++ b/packages/router/src/request-body.ts
@@ -2,34 +2,34 @@
 
 import {Problem, ProblemName} from './problem.js';
 
-/** Limits of one request's body. */
+/** Limits of a request body. */
 export interface BodyLimits {
   readonly maximumBytes: number;
-  /** The whole body must be there by then. */
+  /** Time within which the complete body must be received. */
   readonly timeoutMilliseconds: number;
 }
 
 function tooLarge(limits: BodyLimits): Problem {
   return new Problem(ProblemName.BodyTooLarge, {
-    detail: `the body is over ${limits.maximumBytes} bytes`,
+    detail: `the body exceeds ${limits.maximumBytes} bytes`,
   });
 }
 
-function tooSlow(limits: BodyLimits): Problem {
+function receiveTimeout(limits: BodyLimits): Problem {
   return new Problem(ProblemName.RequestTimeout, {
-    detail: `the body was not there within ${limits.timeoutMilliseconds} ms`,
+    detail: `the body was not received within ${limits.timeoutMilliseconds} ms`,
   });
 }
 
 /**
  * Reads a request's body.
  *
- * A caller that sends without end, or a byte now and then, would hold memory and
- * a connection for as long as it likes; both limits stop it, and nothing of the
- * request has been acted on by then.
+ * Without the limits, a caller that sends endlessly or very slowly could occupy
+ * memory and a connection indefinitely. The request is not acted on before its
+ * body is complete.
  *
- * @throws Problem of the names body-too-large, request-timeout, and
- *     malformed-request where the caller broke off.
+ * @throws Problem `body-too-large` or `request-timeout` if a limit is exceeded;
+ *     `malformed-request` if the connection closes first.
  * @example
  * ```ts
  * const body = await readBody(request, {maximumBytes: 1_048_576, timeoutMilliseconds: 10_000});
@@ -39,15 +39,15 @@
   request: IncomingMessage,
   limits: BodyLimits,
 ): Promise<Uint8Array> {
-  const announced = Number(request.headers['content-length'] ?? 0);
-  if (announced > limits.maximumBytes) {
+  const contentLength = Number(request.headers['content-length'] ?? 0);
+  if (contentLength > limits.maximumBytes) {
     return Promise.reject(tooLarge(limits));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let length = 0;
     const timer = setTimeout(() => {
-      fail(tooSlow(limits));
+      fail(receiveTimeout(limits));
     }, limits.timeoutMilliseconds);
     const fail = (problem: Problem) => {
       clearTimeout(timer);
@@ -69,7 +69,7 @@
     request.once('close', () => {
       fail(
         new Problem(ProblemName.MalformedRequest, {
-          detail: 'the caller broke off before its request was whole',
+          detail: 'the connection closed before the request was complete',
         }),
       );
     });
--- a/packages/router/src/request-locator.ts
+++ b/packages/router/src/request-locator.ts
@@ -8,36 +8,42 @@
   AttachResult,
   copyAnswer,
   type RouterConnector,
-} from './router-attacher.js';
+} from './router-connector.js';
 import type {Submission} from './submission.js';
 
-/** What the locator needs of its router. */
-export interface LocatorParts {
+/** Dependencies of the locator. */
+export interface LocatorDependencies {
   readonly requests: RequestService;
   readonly routers: RouterConnector;
-  /** The other routers that membership names. */
+  /** The other routers in the membership. */
   readonly peers: () => readonly ProcessIdentity[];
   readonly nowSeconds: () => number;
 }
 
-/** Finds the answer of a request that another router may run or keep. */
+/** Finds answers that this router or another one runs or keeps. */
 export class RequestLocator {
-  constructor(private readonly parts: LocatorParts) {}
+  constructor(private readonly dependencies: LocatorDependencies) {}
 
   /**
-   * Submits here, unless another router alone may execute the key.
+   * Submits the request to this router. If another router minted the key, only
+   * that router may run the request, so its answer is read from there.
    *
-   * @throws Problem where the request can't be taken.
+   * @throws Problem if the request is refused, or the router that minted the key
+   *     does not return an answer.
    */
   async submit(submission: Submission): Promise<Answer> {
     const {mintedElsewhere} = submission;
     if (mintedElsewhere === undefined) {
-      return this.parts.requests.submit(submission);
+      return this.dependencies.requests.submit(submission);
     }
-    const owner = this.parts
+    const owners = this.dependencies
       .peers()
       .filter(({incarnation}) => incarnation === mintedElsewhere.incarnation);
-    const answer = await this.search(submission, submission.requestId, owner);
+    const answer = await this.searchPeers(
+      submission,
+      submission.requestId,
+      owners,
+    );
     if (answer !== undefined) {
       return answer;
     }
@@ -45,7 +51,7 @@
       ProblemName.Unavailable,
       {
         detail:
-          'only the router that minted the key may run it, and it tells nothing of the request',
+          'only the router that minted the key may run the request, and that router is unreachable or does not know it',
         requestId: submission.requestId,
         step: 'attach',
         peer: mintedElsewhere.incarnation,
@@ -55,22 +61,22 @@
   }
 
   /**
-   * Finds a running or kept answer here, else at the routers that membership
-   * names. Few callers come back to another host, and one data centre has a few
-   * hosts, so asking each of them is cheaper than keeping an index.
+   * Finds a running or kept answer at this router, or else at the other routers
+   * in the membership. Few callers reconnect to another host, and a data centre
+   * has few hosts, so querying each of them is cheaper than keeping an index.
    *
-   * @throws Problem where no router knows it.
+   * @throws Problem `unknown-request` if no reachable router knows the request.
    */
   async find(identity: CallerIdentity, requestId: string): Promise<Answer> {
     const answer =
-      this.parts.requests.find(identity, requestId) ??
-      (await this.search(identity, requestId, this.parts.peers()));
+      this.dependencies.requests.find(identity, requestId) ??
+      (await this.searchPeers(identity, requestId, this.dependencies.peers()));
     if (answer === undefined) {
       throw new Problem(
         ProblemName.UnknownRequest,
         {
           detail:
-            'no router in reach knows it; send the request again with its Idempotency-Key and Last-Event-ID',
+            'no reachable router knows the request; send it again with its Idempotency-Key and Last-Event-ID',
           requestId,
         },
         AnswerOutcome.Unknown,
@@ -79,39 +85,39 @@
     return answer;
   }
 
-  private async search(
+  private async searchPeers(
     identity: CallerIdentity,
     requestId: string,
     peers: readonly ProcessIdentity[],
   ): Promise<Answer | undefined> {
     for (const peer of peers) {
       const answer = this.emptyAnswer(identity, requestId);
-      const copying = this.copy(peer, answer);
-      const first = await Promise.race([
+      const copying = this.copyFromPeer(peer, answer);
+      const firstResult = await Promise.race([
         copying,
-        answer.more(0).then(() => AttachResult.Ended),
+        answer.waitForEvent(0).then(() => AttachResult.Ended),
       ]);
-      if (first === AttachResult.Ended) {
+      if (firstResult === AttachResult.Ended) {
         return answer;
       }
     }
     return undefined;
   }
 
-  /** A copy that breaks off ends with a problem, never as if it were whole. */
-  private async copy(
+  /** Ends a copy that breaks off with a problem, so it never looks complete. */
+  private async copyFromPeer(
     peer: ProcessIdentity,
     answer: Answer,
   ): Promise<AttachResult> {
     const result = await copyAnswer(
-      this.parts.routers,
+      this.dependencies.routers,
       peer.controlAddress,
       answer,
     );
     if (result === AttachResult.Lost && answer.events.length > 0) {
       answer.finish({
         problem: new Problem(ProblemName.FailedAfterRunning, {
-          detail: 'the router that runs it was lost',
+          detail: 'the connection to the router that runs the request was lost',
           requestId: answer.options.requestId,
           step: 'attach',
           peer: peer.controlAddress,
@@ -127,7 +133,7 @@
       caller: identity.caller,
       requestId,
       fingerprint: '',
-      createdSeconds: this.parts.nowSeconds(),
+      createdSeconds: this.dependencies.nowSeconds(),
     });
   }
 }
--- a/packages/router/src/request-run.ts
+++ b/packages/router/src/request-run.ts
@@ -7,9 +7,9 @@
 import {freshAttemptId} from './identity.js';
 import type {BeginFields} from './keeper-session.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import * as life from './request-life.js';
-import {AttachResult, copyAnswer} from './router-attacher.js';
-import {RunContext, type RunParts} from './run-context.js';
+import * as requestState from './request-state.js';
+import {AttachResult, copyAnswer} from './router-connector.js';
+import {RunContext, type RunDependencies} from './run-context.js';
 import type {Submission} from './submission.js';
 import {
   answerGoneProblem,
@@ -19,93 +19,103 @@
 } from './verdicts.js';
 
 /**
- * A joined router that is lost makes the request begin again; its holder needs a
- * moment to notice the loss.
+ * If a joined router is lost, the request sends its begin again after this
+ * delay, because the holder needs time to detect the loss.
  */
 const MAXIMUM_JOINS = 5;
-const REJOIN_MILLISECONDS = 300;
-const MAXIMUM_PEERS_ASKED = 16;
+const REJOIN_DELAY_MILLISECONDS = 300;
+const MAXIMUM_PEERS_QUERIED = 16;
 
-/** The life of one request at this router, from its submission to its bill. */
+/** Runs one request at this router, from its submission to its bill. */
 export class RequestRun {
   private readonly context: RunContext;
   private readonly dispatchRun: DispatchRun;
 
-  constructor(parts: RunParts, submission: Submission, answer: Answer) {
-    this.context = new RunContext(parts, submission, answer);
+  constructor(
+    dependencies: RunDependencies,
+    submission: Submission,
+    answer: Answer,
+  ) {
+    this.context = new RunContext(dependencies, submission, answer);
     this.dispatchRun = new DispatchRun(this.context);
   }
 
   /**
-   * Runs to the end; never throws. With a caller's own key the holder is asked
-   * first: an earlier try may have run elsewhere, and a refusal for want of an
-   * endpoint would then be a "not run" that ran. Without a key nobody else can
-   * know the request, and the queue comes first, so that waiting work holds no
-   * reservation.
+   * Runs the request to its end; never throws. A request with a caller's key
+   * sends its begin to the holder before it queues for an endpoint: an earlier
+   * attempt may have run elsewhere, and refusing for lack of an endpoint would
+   * then report "not run" for a request that ran. A request without a key is
+   * known to no other router, so it queues first and holds no reservation while
+   * it waits.
    */
   async run(): Promise<void> {
-    const received = life.receive();
+    const received = requestState.receive();
     try {
       const begun = this.context.submission.keyed
         ? await this.begin(received)
         : await this.queueAndBegin(received);
-      if (begun?.kind === life.LifeKind.Resuming) {
+      if (begun?.kind === requestState.Phase.Resuming) {
         await this.dispatchRun.continueAttempt(begun);
       } else if (begun !== undefined) {
         await this.dispatchRun.execute(begun);
       }
     } catch (error) {
-      this.context.parts.log.error('request-run-broke', {
-        ...this.context.fields,
+      this.context.dependencies.log.error('request-run-broke', {
+        ...this.context.logFields,
         reason: error instanceof Error ? error.message : String(error),
       });
       this.context.answer.finish({
         problem: new Problem(ProblemName.OutcomeUnknown, {
-          detail: 'an error inside the router',
+          detail: 'internal error in the router',
         }),
       });
     }
   }
 
-  private async queueAndBegin(received: life.Received) {
-    const placed = await this.context.findEndpoint(life.queue(received));
-    return placed?.kind === life.LifeKind.Placed
+  private async queueAndBegin(received: requestState.Received) {
+    const placed = await this.context.findEndpoint(
+      requestState.queue(received),
+    );
+    return placed?.kind === requestState.Phase.Placed
       ? this.begin(placed)
       : undefined;
   }
 
   private async begin(
-    from: life.Received | life.Placed,
-  ): Promise<life.Reserved | life.Resuming | undefined> {
-    const {parts, answer} = this.context;
-    const beginning = this.context.note(life.begin(from));
-    let namedSelf = false;
+    from: requestState.Received | requestState.Placed,
+  ): Promise<requestState.Reserved | requestState.Resuming | undefined> {
+    const {dependencies, answer} = this.context;
+    const beginning = this.context.recordState(requestState.begin(from));
+    let holderNamedThisRouter = false;
     for (let joins = 0; joins < MAXIMUM_JOINS; joins++) {
-      const askedAt = parts.clock.monotonicMilliseconds();
-      const verdict = await this.askHolder(beginning);
+      const beginSentAt = dependencies.clock.monotonicMilliseconds();
+      const verdict = await this.beginAtHolder(beginning);
       if (verdict === undefined) {
         return undefined;
       }
       if (verdict.verdict !== BeginVerdict.JOIN) {
-        return this.applyVerdict(beginning, verdict, askedAt);
+        return this.applyVerdict(beginning, verdict, beginSentAt);
       }
-      if (verdict.router?.incarnation === parts.incarnation()) {
-        if (namedSelf && !this.isUnusedCall) {
-          this.answerGone(beginning);
+      if (verdict.router?.incarnation === dependencies.incarnation()) {
+        if (holderNamedThisRouter && !this.isUndispatchedCall) {
+          this.finishAnswerGone(beginning);
           return undefined;
         }
-        namedSelf = true;
-        parts.holder.abandonUnanswered(this.beginFields(beginning));
+        holderNamedThisRouter = true;
+        dependencies.holder.abandonUnanswered(this.beginFields(beginning));
         continue;
       }
-      if (await this.joined(beginning, verdict)) {
+      if (await this.copyFromRouter(beginning, verdict)) {
         return undefined;
       }
-      await parts.clock.sleep(REJOIN_MILLISECONDS, answer.abandoned);
+      await dependencies.clock.sleep(
+        REJOIN_DELAY_MILLISECONDS,
+        answer.abandoned,
+      );
     }
-    this.context.loseOrRefuse(
+    this.context.failBegin(
       beginning,
-      'the router that runs it is out of reach',
+      'the router that runs the request is unreachable',
       'join',
       '',
     );
@@ -113,13 +123,14 @@
   }
 
   /**
-   * The holder names this router, which knows nothing of the request any more. A
-   * begin whose answer was lost is released by the abandon; what still names this
-   * router after that is settled, and its answer is no longer kept.
+   * Handles a second JOIN verdict that names this router although it no longer
+   * has the request. The abandon sent after the first verdict released any begin
+   * whose answer was lost, so the request is settled and its answer is no longer
+   * kept.
    */
-  private answerGone(beginning: life.Beginning): void {
+  private finishAnswerGone(beginning: requestState.Beginning): void {
     this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
-    this.context.note(life.lose(beginning));
+    this.context.recordState(requestState.endAsUnknown(beginning));
     this.context.answer.finish({
       problem: answerGoneProblem('').forRequest(
         this.context.submission.requestId,
@@ -127,69 +138,68 @@
     });
   }
 
-  private get isUnusedCall(): boolean {
-    const {submission, parts} = this.context;
+  private get isUndispatchedCall(): boolean {
+    const {submission, dependencies} = this.context;
     return (
       !submission.idempotent &&
-      parts.dispatchedCalls.isUnused(submission.requestId)
+      dependencies.dispatchedCalls.isNeverDispatched(submission.requestId)
     );
   }
 
-  private beginFields(beginning: life.Beginning): BeginFields {
-    const {submission, parts} = this.context;
+  private beginFields(beginning: requestState.Beginning): BeginFields {
+    const {submission, dependencies} = this.context;
     return {
       requestId: submission.requestId,
       organisation: submission.organisation,
       caller: submission.caller,
       fingerprint: submission.fingerprint,
       boundTokens: submission.boundTokens,
-      attemptId: freshAttemptId(submission.requestId, parts.random),
+      attemptId: freshAttemptId(submission.requestId, dependencies.random),
       service: submission.service,
       idempotent: submission.idempotent,
       mintedHere: submission.mintedHere,
       endpoint: beginning.placement?.endpoint ?? '',
-      claimUnused: this.isUnusedCall,
+      claimUnused: this.isUndispatchedCall,
     };
   }
 
-  private async askHolder(
-    beginning: life.Beginning,
+  private async beginAtHolder(
+    beginning: requestState.Beginning,
   ): Promise<BeginAnswer | undefined> {
     try {
-      return await this.context.parts.holder.begin(this.beginFields(beginning));
+      return await this.context.dependencies.holder.begin(
+        this.beginFields(beginning),
+      );
     } catch (error) {
       if (!(error instanceof StepError)) {
         throw error;
       }
-      this.context.loseOrRefuse(
-        beginning,
-        error.reason,
-        error.step,
-        error.peer,
-      );
+      this.context.failBegin(beginning, error.reason, error.step, error.peer);
       return undefined;
     }
   }
 
   private async applyVerdict(
-    beginning: life.Beginning,
+    beginning: requestState.Beginning,
     answer: BeginAnswer,
-    askedAt: number,
-  ): Promise<life.Reserved | life.Resuming | undefined> {
+    beginSentAt: number,
+  ): Promise<requestState.Reserved | requestState.Resuming | undefined> {
     const {grantId, holder, witness, resume} = answer;
-    const reservation = {grantId, holder, witness, askedAt};
+    const reservation = {grantId, holder, witness, beginSentAt};
     if (answer.verdict === BeginVerdict.RESERVED) {
       return this.checkReserved(
         beginning,
-        this.context.note(life.reserve(beginning, reservation)),
+        this.context.recordState(requestState.reserve(beginning, reservation)),
       );
     }
     if (answer.verdict === BeginVerdict.RESUME && resume !== undefined) {
       this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
-      return this.context.note(life.resume(beginning, reservation, resume));
+      return this.context.recordState(
+        requestState.resume(beginning, reservation, resume),
+      );
     }
     if (answer.verdict === BeginVerdict.UNAVAILABLE) {
-      this.context.loseOrRefuse(
+      this.context.failBegin(
         beginning,
         answer.reason,
         'begin at the holder',
@@ -200,7 +210,7 @@
     }
     if (
       answer.verdict === BeginVerdict.ANSWER_GONE &&
-      (await this.foundAtPeer(beginning))
+      (await this.copyFromPeers(beginning))
     ) {
       return undefined;
     }
@@ -209,38 +219,39 @@
       this.context.refuse(beginning, problem);
     } else {
       this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
-      this.context.note(life.lose(beginning));
+      this.context.recordState(requestState.endAsUnknown(beginning));
       this.context.answer.finish({problem});
     }
     return undefined;
   }
 
   /**
-   * A new run may word its answer otherwise. Where the caller has seen part of an
-   * earlier one, going on from there would mix two answers into one that looks
-   * whole. The router that keeps the earlier one is looked for (its data centre
-   * may be another, where this holder knows nothing of it); else the caller is
-   * told, and may ask for the whole anew.
+   * Checks that a new run may use the reservation. The text of a new run can
+   * differ, so a caller that has read part of an earlier answer would get a mix
+   * of two answers that looks complete. In that case the reservation is released
+   * and the earlier answer is searched at the other routers: it may be kept in
+   * another data centre, which this holder does not cover. If none has it, the
+   * request fails and the caller can request the complete answer again.
    */
   private async checkReserved(
-    beginning: life.Beginning,
-    reserved: life.Reserved,
-  ): Promise<life.Reserved | undefined> {
+    beginning: requestState.Beginning,
+    reserved: requestState.Reserved,
+  ): Promise<requestState.Reserved | undefined> {
     if (
       this.context.answer.events.length > 0 ||
       this.context.submission.lastEvent >= 0
     ) {
       const {reservation} = reserved;
-      void this.context.parts.holder.abandon({
+      void this.context.dependencies.holder.abandon({
         ...this.context.submission,
         reservation,
       });
-      if (await this.foundAtPeer(beginning)) {
+      if (await this.copyFromPeers(beginning)) {
         return undefined;
       }
       this.context.answer.finish({
         problem: new Problem(ProblemName.FailedAfterRunning, {
-          detail: 'the stream that was seen in part can no longer be continued',
+          detail: 'the partially read stream can no longer be continued',
           step: 'resume',
           requestId: this.context.submission.requestId,
         }),
@@ -251,7 +262,7 @@
       this.context.refuse(reserved, withdrawnProblem());
       return undefined;
     }
-    if (this.context.parts.draining()) {
+    if (this.context.dependencies.draining()) {
       this.context.refuse(reserved, drainingProblem());
       return undefined;
     }
@@ -259,28 +270,41 @@
   }
 
   /**
-   * The log knows the bill, but this holder not the router: the request ran in
-   * another data centre, whose router may keep the answer. Such retries are rare,
-   * so a few routers are asked in turn instead of keeping an index of answers.
+   * Copies the answer from another router that keeps it; returns false if none
+   * does. Used if the log has the request's bill but the holder does not know its
+   * router, because the request ran in another data centre. Such retries are
+   * rare, so up to 16 routers are queried in turn instead of keeping an index of
+   * answers.
    */
-  private async foundAtPeer(beginning: life.Beginning): Promise<boolean> {
-    const {parts, answer} = this.context;
-    for (const peer of parts.peers().slice(0, MAXIMUM_PEERS_ASKED)) {
+  private async copyFromPeers(
+    beginning: requestState.Beginning,
+  ): Promise<boolean> {
+    const {dependencies, answer} = this.context;
+    for (const peer of dependencies.peers().slice(0, MAXIMUM_PEERS_QUERIED)) {
       const {controlAddress} = peer;
-      const result = await copyAnswer(parts.routers, controlAddress, answer);
+      const result = await copyAnswer(
+        dependencies.routers,
+        controlAddress,
+        answer,
+      );
       if (result === AttachResult.Ended) {
         this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
-        this.context.note(life.join(beginning, peer.incarnation));
-        answer.keep = answer.tellsOfRun;
+        this.context.recordState(
+          requestState.join(beginning, peer.incarnation),
+        );
+        answer.shouldKeep = answer.endedAfterRun;
         return true;
       }
     }
     return false;
   }
 
-  /** Copies another router's answer; false where it was lost on the way. */
-  private async joined(
-    beginning: life.Beginning,
+  /**
+   * Copies the answer of the router that the verdict names; returns false if the
+   * answer did not end.
+   */
+  private async copyFromRouter(
+    beginning: requestState.Beginning,
     verdict: BeginAnswer,
   ): Promise<boolean> {
     const {router} = verdict;
@@ -288,13 +312,13 @@
       return false;
     }
     this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
-    this.context.note(life.join(beginning, router.incarnation));
+    this.context.recordState(requestState.join(beginning, router.incarnation));
     const result = await copyAnswer(
-      this.context.parts.routers,
+      this.context.dependencies.routers,
       router.controlAddress,
       this.context.answer,
     );
-    this.context.answer.keep = this.context.answer.tellsOfRun;
+    this.context.answer.shouldKeep = this.context.answer.endedAfterRun;
     return result === AttachResult.Ended;
   }
 }
--- a/packages/router/src/request-service.ts
+++ b/packages/router/src/request-service.ts
@@ -3,47 +3,47 @@
 import type {CallerIdentity} from './identity.js';
 import {Problem, ProblemName} from './problem.js';
 import {RequestRun} from './request-run.js';
-import type {RunParts} from './run-context.js';
+import type {RunDependencies} from './run-context.js';
 import type {Submission} from './submission.js';
 import {drainingProblem} from './verdicts.js';
 
 /**
- * A caller whose connection broke comes back within a second or two; one that
- * hung up does not. Until then its work goes on, so that the rest can be read at
- * once; after that it is cancelled, because every further token is paid for by
- * somebody who does not want it.
+ * Time for which a request keeps running after its last reader disconnected. A
+ * caller whose connection broke reconnects within a second or two and can then
+ * read the rest at once; a caller that hung up does not return, and would be
+ * billed for every further token, so the request is cancelled.
  */
-const RECONNECT_MILLISECONDS = 1_000;
+const RECONNECT_GRACE_MILLISECONDS = 1_000;
 
-/** Starts requests, and lets their retries join. */
+/** Starts requests and attaches retries to the answers of running ones. */
 export class RequestService {
   constructor(
-    private readonly parts: RunParts,
+    private readonly dependencies: RunDependencies,
     private readonly store: AnswerStore,
   ) {}
 
   /**
-   * Gives the answer of a submission: the running or kept one of the same
-   * request, else that of a run that starts now.
+   * Returns the running or kept answer of the same request, or starts a new run
+   * and returns its answer.
    *
-   * @throws Problem where the key came with other content, or the router is
-   *     leaving.
+   * @throws Problem `key-reused` if the key was already used with different
+   *     content; `draining` if the router is draining and the request has no key.
    */
   submit(submission: Submission): Answer {
-    const known = this.find(submission, submission.requestId);
-    if (known === undefined) {
+    const existing = this.find(submission, submission.requestId);
+    if (existing === undefined) {
       return this.start(submission);
     }
-    if (known.options.fingerprint !== submission.fingerprint) {
+    if (existing.options.fingerprint !== submission.fingerprint) {
       throw new Problem(ProblemName.KeyReused, {
-        detail: 'the same Idempotency-Key came with other content',
+        detail: 'the Idempotency-Key was already used with different content',
         requestId: submission.requestId,
       });
     }
-    return known;
+    return existing;
   }
 
-  /** The answer of a request, for nobody but its own caller. */
+  /** Finds the answer of a request; returns it only to the request's caller. */
   find(identity: CallerIdentity, requestId: string): Answer | undefined {
     const answer = this.store.find(requestId);
     return answer?.options.organisation === identity.organisation &&
@@ -52,45 +52,49 @@
       : undefined;
   }
 
-  /** Counts a reader in; the function returned counts it out. */
-  attach(answer: Answer): () => void {
-    return answer.attach(() => {
-      void this.parts.clock.sleep(RECONNECT_MILLISECONDS).then(() => {
-        if (answer.readerCount === 0 && answer.end === undefined) {
-          answer.abandon();
-        }
-      });
+  /** Registers a reader of an answer; the returned function removes it. */
+  addReader(answer: Answer): () => void {
+    return answer.addReader(() => {
+      void this.dependencies.clock
+        .sleep(RECONNECT_GRACE_MILLISECONDS)
+        .then(() => {
+          if (answer.readerCount === 0 && answer.end === undefined) {
+            answer.abandon();
+          }
+        });
     });
   }
 
   private start(submission: Submission): Answer {
-    if (this.parts.draining() && !submission.keyed) {
+    if (this.dependencies.draining() && !submission.keyed) {
       throw drainingProblem().forRequest(submission.requestId);
     }
     const answer = new Answer({
       ...submission,
       createdSeconds: Math.floor(
-        this.parts.clock.wallMilliseconds() / MILLISECONDS_PER_SECOND,
+        this.dependencies.clock.wallMilliseconds() / MILLISECONDS_PER_SECOND,
       ),
     });
     this.store.add(answer);
-    const startedAt = this.parts.clock.monotonicMilliseconds();
-    void new RequestRun(this.parts, submission, answer).run().then(() => {
-      this.ended(submission, answer, startedAt);
-    });
+    const startedAt = this.dependencies.clock.monotonicMilliseconds();
+    void new RequestRun(this.dependencies, submission, answer)
+      .run()
+      .then(() => {
+        this.handleEnd(submission, answer, startedAt);
+      });
     return answer;
   }
 
-  private ended(
+  private handleEnd(
     submission: Submission,
     answer: Answer,
     startedAt: number,
   ): void {
-    const {clock, log, metrics} = this.parts;
-    if (answer.keep) {
-      this.store.keep(answer);
+    const {clock, log, metrics} = this.dependencies;
+    if (answer.shouldKeep) {
+      this.store.markEnded(answer);
     } else {
-      this.store.forget(answer);
+      this.store.remove(answer);
     }
     const milliseconds = clock.monotonicMilliseconds() - startedAt;
     metrics.timing('request.duration', milliseconds);
--- a/packages/router/src/router-attacher.ts
+++ b/packages/router/src/router-connector.ts
@@ -5,17 +5,17 @@
 import type {Answer} from './answer.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
 
-/** How joining another router's answer ended. */
+/** Result of copying another router's answer. */
 export enum AttachResult {
-  /** The answer ended there, whole or with a problem, and so it did here. */
+  /** The answer ended, complete or with a problem, and the copy ended alike. */
   Ended = 'ended',
-  /** The other router knows nothing of the request. */
+  /** The other router does not know the request. */
   Unknown = 'unknown',
-  /** The other router was lost on the way. */
+  /** The stream broke off or skipped an event before the answer ended. */
   Lost = 'lost',
 }
 
-/** Opens answers at other routers; tests put fakes in its place. */
+/** Opens answer streams at other routers. */
 export abstract class RouterConnector {
   /** @param address `IP:port` of the router's control services. */
   abstract attach(
@@ -25,7 +25,7 @@
   ): AsyncIterable<AttachMessage>;
 }
 
-/** Attaches over HTTP/2 by Connect. */
+/** Attaches with Connect over HTTP/2. */
 export class ConnectRouterConnector extends RouterConnector {
   override attach(
     address: string,
@@ -64,18 +64,23 @@
 
 const TYPE_PREFIX = 'urn:wisteriadeal:problem:';
 
-function member<Value extends string>(
+function findValue<Value extends string>(
   values: readonly Value[],
   text: string,
 ): Value | undefined {
   return values.find(value => value === text);
 }
 
-/** Reads the problem that another router sent. */
+/**
+ * Parses the problem document that another router sent. An unknown type becomes
+ * `outcome-unknown`, and an unknown outcome becomes `unknown`.
+ *
+ * @throws SyntaxError if the text is not JSON.
+ */
 export function parseProblem(json: string): Problem {
   const document = JSON.parse(json) as ProblemDocument;
   const {type, detail, outcome, retryAfterMilliseconds, step, peer} = document;
-  const name = member(
+  const name = findValue(
     Object.values(ProblemName),
     type.slice(TYPE_PREFIX.length),
   );
@@ -87,18 +92,18 @@
       ...(step === undefined ? {} : {step}),
       ...(peer === undefined ? {} : {peer}),
     },
-    member(Object.values(AnswerOutcome), outcome) ?? AnswerOutcome.Unknown,
+    findValue(Object.values(AnswerOutcome), outcome) ?? AnswerOutcome.Unknown,
   );
 }
 
-function take(
+function applyMessage(
   answer: Answer,
   message: AttachMessage,
 ): AttachResult | undefined {
   const {kind} = message;
   switch (kind.case) {
     case 'head':
-      answer.begin(kind.value);
+      answer.setHead(kind.value);
       return undefined;
     case 'event':
       if (kind.value.index !== answer.events.length) {
@@ -123,8 +128,9 @@
 }
 
 /**
- * Copies another router's answer into one of this router until it ends. A stream
- * that breaks off without an end is `Lost`; it never counts as whole.
+ * Copies another router's answer into an answer of this router until it ends. A
+ * stream that breaks off without an end message returns `Lost`; the answer is
+ * never treated as complete.
  */
 export async function copyAnswer(
   connector: RouterConnector,
@@ -134,13 +140,13 @@
   try {
     const messages = connector.attach(address, answer, answer.abandoned);
     for await (const message of messages) {
-      const result = take(answer, message);
+      const result = applyMessage(answer, message);
       if (result !== undefined) {
         return result;
       }
     }
   } catch {
-    // The other router, or the way to it, is gone.
+    // The other router failed or became unreachable.
   }
   return AttachResult.Lost;
 }
--- a/packages/router/src/router-limits.ts
+++ b/packages/router/src/router-limits.ts
@@ -1,15 +1,15 @@
 import type {ConfigurationInForce, RouterSettings} from '@wisteriadeal/schema';
 
-/** Limits of one router that its settings give. */
+/** Limits of one router, taken from its settings. */
 export interface RouterLimits {
-  /** Bytes of ended answers that are kept for retries. */
+  /** Maximum bytes of ended answers kept for retries. */
   readonly keptAnswerBytes: number;
   readonly maximumQueuedRequests: number;
-  /** A graceful stop ends at the latest by then. */
+  /** Maximum duration of the drain in a graceful shutdown. */
   readonly drainLimitMilliseconds: number;
 }
 
-/** An eighth of the memory that a daemon may use for control. */
+/** 32 MiB, an eighth of the memory that a process may use for control data. */
 const DEFAULT_KEPT_ANSWER_BYTES = 33_554_432;
 const DEFAULT_MAXIMUM_QUEUED = 1_000;
 const DEFAULT_DRAIN_LIMIT_MILLISECONDS = 60_000;
@@ -19,7 +19,7 @@
   return value === undefined || value === 0 ? fallback : value;
 }
 
-/** The limits of the settings, with a default for each that is left out. */
+/** Reads the limits from the settings; 0 or unset selects the default. */
 export function routerLimits(settings: RouterSettings): RouterLimits {
   return {
     keptAnswerBytes: orDefault(
@@ -37,7 +37,7 @@
   };
 }
 
-/** How long an ended answer is kept for a retry of its caller. */
+/** Milliseconds for which an ended answer is kept for retries of its caller. */
 export function keptAnswerMilliseconds(
   inForce: ConfigurationInForce | undefined,
 ): number {
--- a/packages/router/src/router-state.ts
+++ b/packages/router/src/router-state.ts
@@ -8,7 +8,7 @@
 import type {KeeperDirectory} from './keeper-directory.js';
 import type {LoadDispatcher} from './load-dispatcher.js';
 
-/** What is told about. */
+/** The components whose state is reported. */
 export interface StateSources {
   readonly identity: () => ProcessIdentity;
   readonly draining: () => boolean;
@@ -36,7 +36,7 @@
   };
 }
 
-/** The router's answers to an operator's questions; no prompt or answer. */
+/** Serves the inspection queries of operators; omits prompts and answer text. */
 export class RouterState extends Inspectable {
   constructor(private readonly sources: StateSources) {
     super();
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -28,18 +28,18 @@
 import {EndpointDirectory} from './endpoint-directory.js';
 import {HolderClient} from './holder-client.js';
 import {KeeperDirectory} from './keeper-directory.js';
-import type {KeeperConnector} from './keeper-link.js';
+import type {KeeperConnector} from './keeper-connector.js';
 import {LoadDispatcher} from './load-dispatcher.js';
 import {RequestLocator} from './request-locator.js';
 import {RequestService} from './request-service.js';
-import type {RouterConnector} from './router-attacher.js';
+import type {RouterConnector} from './router-connector.js';
 import {keptAnswerMilliseconds, routerLimits} from './router-limits.js';
 import {RouterState} from './router-state.js';
-import type {RunParts} from './run-context.js';
+import type {RunDependencies} from './run-context.js';
 import {SubmissionReader} from './submission-reader.js';
 
-/** What a router is made of; the composition root hands it in. */
-export interface RouterParts {
+/** Dependencies of a router, supplied by the composition root. */
+export interface RouterDependencies {
   readonly settings: RouterSettings;
   readonly keepers: KeeperConnector;
   readonly routers: RouterConnector;
@@ -51,7 +51,7 @@
   readonly metrics: Metrics;
 }
 
-const DRAIN_CHECK_MILLISECONDS = 20;
+const DRAIN_CHECK_INTERVAL_MILLISECONDS = 20;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** One router process. */
@@ -64,26 +64,26 @@
   private readonly endpoints: EndpointDirectory;
   private readonly store: AnswerStore;
   private readonly requests: RequestService;
-  private control: ControlServer | undefined;
-  private callers: CallerServer | undefined;
+  private controlServer: ControlServer | undefined;
+  private callerServer: CallerServer | undefined;
 
-  private constructor(private readonly parts: RouterParts) {
-    const {settings, clock, random, log} = parts;
+  private constructor(private readonly dependencies: RouterDependencies) {
+    const {settings, clock, random, log} = dependencies;
     const host = settings.process?.host ?? '';
     const dataCenter = settings.process?.dataCenter ?? '';
     const limits = routerLimits(settings);
-    const own = random.identifier().slice(0, INCARNATION_DIGITS);
+    const incarnationSuffix = random.identifier().slice(0, INCARNATION_DIGITS);
     this.identity = create(ProcessIdentitySchema, {
-      incarnation: `${host}/router/${own}`,
+      incarnation: `${host}/router/${incarnationSuffix}`,
       host,
       dataCenter,
     });
     this.keepers = new KeeperDirectory(
       {
-        self: () => this.identity,
+        identity: () => this.identity,
         dataCenter,
         localKeeper: settings.keeperAddress,
-        connector: parts.keepers,
+        connector: dependencies.keepers,
         clock,
         log,
       },
@@ -97,8 +97,8 @@
         membershipChanged: () => {
           this.endpoints.refresh();
         },
-        settled: requestId => {
-          this.holder.settled(requestId);
+        settlementAcknowledged: requestId => {
+          this.holder.settlementAcknowledged(requestId);
         },
       },
     );
@@ -112,8 +112,8 @@
       clock,
     );
     this.endpoints = new EndpointDirectory({
-      engines: parts.engines,
-      plainServices: parts.plainServices,
+      engines: dependencies.engines,
+      plainServices: dependencies.plainServices,
       dispatcher: this.dispatcher,
       leavingEndpoints: () => this.keepers.leavingEndpoints(),
       clock,
@@ -122,12 +122,15 @@
     this.store = new AnswerStore(clock, limits.keptAnswerBytes, () =>
       keptAnswerMilliseconds(this.keepers.configuration),
     );
-    this.requests = new RequestService(this.runParts(), this.store);
+    this.requests = new RequestService(
+      this.createRunDependencies(),
+      this.store,
+    );
   }
 
   /**
-   * Starts a router: it listens, opens its sessions, and is ready once it knows
-   * a configuration.
+   * Starts a router: listens, opens its keeper sessions, and becomes ready once
+   * it has received a configuration.
    *
    * @example
    * ```ts
@@ -135,72 +138,73 @@
    * await router.close();
    * ```
    */
-  static async start(parts: RouterParts): Promise<Router> {
-    const router = new Router(parts);
+  static async start(dependencies: RouterDependencies): Promise<Router> {
+    const router = new Router(dependencies);
     await router.listen();
     return router;
   }
 
-  /** `IP:port` for callers. */
+  /** `IP:port` of the callers' interface. */
   get callerAddress(): string {
-    return this.callers?.address ?? '';
+    return this.callerServer?.address ?? '';
   }
 
-  /** `IP:port` for the system's other processes. */
+  /** `IP:port` of the control services, for the system's other processes. */
   get controlAddress(): string {
-    return this.control?.address ?? '';
+    return this.controlServer?.address ?? '';
   }
 
   /**
-   * Leaves in good order: not ready, new work refused as not run, what runs ends
-   * whole and is settled, the keepers are told, and then the doors close. Closing
-   * the doors first would turn the last callers' refusals into broken
-   * connections, of which nobody can say whether they ran.
+   * Shuts down gracefully: reports not ready, refuses new requests as not run,
+   * waits until running requests have finished and are settled, then closes the
+   * caller port and says goodbye to the keepers. The port stays open during the
+   * drain: with a closed port the last callers would see broken connections
+   * instead of refusals and could not tell whether their requests ran.
    */
   async close(): Promise<void> {
     this.draining = true;
-    this.parts.log.info('draining', {open: this.store.running});
-    await this.drained();
-    await this.callers?.close();
+    this.dependencies.log.info('draining', {open: this.store.running});
+    await this.waitUntilDrained();
+    await this.callerServer?.close();
     await this.keepers.close();
     this.dispatcher.close();
     await this.endpoints.close();
-    await this.control?.close();
-    await this.parts.metrics.close();
-    this.parts.log.info('left');
+    await this.controlServer?.close();
+    await this.dependencies.metrics.close();
+    this.dependencies.log.info('left');
   }
 
   private async listen(): Promise<void> {
-    const {settings, log} = this.parts;
+    const {settings, log} = this.dependencies;
     const address = settings.process?.address ?? '127.0.0.1';
-    this.control = await ControlServer.listen(
+    this.controlServer = await ControlServer.listen(
       address,
       settings.process?.controlPort ?? 0,
       router => {
-        registerInspection(router, this.state());
+        registerInspection(router, this.createState());
         router.service(RouterService, attachService(this.requests));
       },
     );
-    this.callers = await CallerServer.listen(
+    this.callerServer = await CallerServer.listen(
       address,
       settings.callerPort,
-      this.routes().routes(),
+      this.createRoutes().routes(),
     );
     this.identity = create(ProcessIdentitySchema, {
       ...this.identity,
-      controlAddress: this.control.address,
-      callerAddress: this.callers.address,
+      controlAddress: this.controlServer.address,
+      callerAddress: this.callerServer.address,
     });
     this.keepers.start();
     log.info('listening', {
       process: 'router',
       host: this.identity.host,
-      controlAddress: this.control.address,
-      callerAddress: this.callers.address,
+      controlAddress: this.controlServer.address,
+      callerAddress: this.callerServer.address,
     });
   }
 
-  /** An answer has ended here before its last reader has it. */
+  /** Readers count too: an answer ends here before its last reader has it. */
   private get isBusy(): boolean {
     return (
       this.store.running > 0 ||
@@ -209,25 +213,25 @@
     );
   }
 
-  private async drained(): Promise<void> {
-    const {clock, settings, log} = this.parts;
+  private async waitUntilDrained(): Promise<void> {
+    const {clock, settings, log} = this.dependencies;
     const {drainLimitMilliseconds} = routerLimits(settings);
-    const until = clock.monotonicMilliseconds() + drainLimitMilliseconds;
+    const deadline = clock.monotonicMilliseconds() + drainLimitMilliseconds;
     while (this.isBusy) {
-      if (clock.monotonicMilliseconds() >= until) {
+      if (clock.monotonicMilliseconds() >= deadline) {
         log.warn('drain-limit-reached', {
           open: this.store.running,
           unsettled: this.holder.openSettlements,
         });
-        this.callers?.destroy();
+        this.callerServer?.destroy();
         return;
       }
-      await clock.sleep(DRAIN_CHECK_MILLISECONDS);
+      await clock.sleep(DRAIN_CHECK_INTERVAL_MILLISECONDS);
     }
   }
 
-  private runParts(): RunParts {
-    const {clock, random, log, metrics, routers} = this.parts;
+  private createRunDependencies(): RunDependencies {
+    const {clock, random, log, metrics, routers} = this.dependencies;
     return {
       holder: this.holder,
       dispatcher: this.dispatcher,
@@ -243,8 +247,8 @@
     };
   }
 
-  private routes(): CallerRoutes {
-    const {clock, random, routers} = this.parts;
+  private createRoutes(): CallerRoutes {
+    const {clock, random, routers} = this.dependencies;
     return new CallerRoutes({
       requests: this.requests,
       locator: new RequestLocator({
@@ -278,7 +282,7 @@
     );
   }
 
-  private state(): RouterState {
+  private createState(): RouterState {
     return new RouterState({
       identity: () => this.identity,
       draining: () => this.draining,
--- a/packages/router/src/run-context.ts
+++ b/packages/router/src/run-context.ts
@@ -8,15 +8,15 @@
 import type {DispatchedCalls} from './dispatched-calls.js';
 import type {RunResult} from './endpoint-work.js';
 import type {HolderClient} from './holder-client.js';
-import type {LoadDispatcher, Placing} from './load-dispatcher.js';
+import type {LoadDispatcher, PlacementResult} from './load-dispatcher.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import * as life from './request-life.js';
-import type {RouterConnector} from './router-attacher.js';
+import * as requestState from './request-state.js';
+import type {RouterConnector} from './router-connector.js';
 import type {Submission} from './submission.js';
 import {problemOfRefusal} from './verdicts.js';
 
-/** What every run needs of its router. */
-export interface RunParts {
+/** Dependencies of the runs of a router. */
+export interface RunDependencies {
   readonly holder: HolderClient;
   readonly dispatcher: LoadDispatcher;
   readonly routers: RouterConnector;
@@ -27,72 +27,73 @@
   readonly dispatchedCalls: DispatchedCalls;
   readonly incarnation: () => string;
   readonly draining: () => boolean;
-  /** The other routers that membership names. */
+  /** The other routers in the membership. */
   readonly peers: () => readonly ProcessIdentity[];
 }
 
-/** When a request that found nobody to take it may be sent again. */
-export const RETRY_MILLISECONDS = 300;
+/** Retry delay returned if no holder or endpoint was reached. */
+export const RETRY_AFTER_MILLISECONDS = 300;
 
-/** One request at this router, with what every part of its life needs. */
+/** State and operations shared by all phases of one request at this router. */
 export class RunContext {
-  /** The endpoint that could not be reached. */
+  /** The endpoint that failed last; the next placement avoids it. */
   private avoidEndpoint: string | undefined;
 
   constructor(
-    readonly parts: RunParts,
+    readonly dependencies: RunDependencies,
     readonly submission: Submission,
     readonly answer: Answer,
   ) {}
 
-  /** Fields of a log line about it; no prompt and no credential. */
-  get fields(): EventFields {
+  /** Log fields of the request; never the prompt or the credential. */
+  get logFields(): EventFields {
     const {requestId, organisation} = this.submission;
     return {request: requestId, organisation};
   }
 
-  /** Waits for an endpoint. */
-  offer(): Promise<Placing> {
-    const avoid =
+  /** Waits until the request is placed at an endpoint, refused or withdrawn. */
+  requestPlacement(): Promise<PlacementResult> {
+    const releaseAndAvoid =
       this.avoidEndpoint === undefined
         ? {}
         : {avoidEndpoint: this.avoidEndpoint};
     const isRetry = this.avoidEndpoint !== undefined;
-    return this.parts.dispatcher.place(
-      {...this.submission, isRetry, ...avoid},
+    return this.dependencies.dispatcher.place(
+      {...this.submission, isRetry, ...releaseAndAvoid},
       this.answer.abandoned,
     );
   }
 
-  /** Waits for an endpoint; refuses the request where there is none. */
+  /** Waits for an endpoint; refuses the request if it is not placed. */
   async findEndpoint(
-    queued: life.Queued,
-  ): Promise<life.Placed | life.Reserved | undefined> {
-    this.note(queued);
-    const placing = await this.offer();
-    if (placing.ok) {
-      return this.note(life.place(queued, placing.val));
+    queued: requestState.Queued,
+  ): Promise<requestState.Placed | requestState.Reserved | undefined> {
+    this.recordState(queued);
+    const placement = await this.requestPlacement();
+    if (placement.ok) {
+      return this.recordState(requestState.place(queued, placement.val));
     }
-    this.refuse(queued, problemOfRefusal(placing.val, this.submission));
+    this.refuse(queued, problemOfRefusal(placement.val, this.submission));
     return undefined;
   }
 
-  /** The endpoint gave no connection; the next one is another. */
+  /** Releases a failed endpoint and avoids it in the next placement. */
   avoid(endpoint: string): void {
     this.release(endpoint, WorkOutcome.Failed);
     this.avoidEndpoint = endpoint;
   }
 
   /**
-   * No holder gave a verdict. Without a key the request is certainly not run.
-   * With a key, an earlier try may have run elsewhere, so only that is said.
+   * Ends a request for which no holder gave a verdict. Without a key the request
+   * certainly did not run. With a key an earlier attempt may have run elsewhere,
+   * so the outcome is reported as unknown.
    */
-  loseOrRefuse(
-    beginning: life.Beginning,
+  failBegin(
+    beginning: requestState.Beginning,
     reason: string,
     step: string,
     peer: string,
-    retryAfterMilliseconds = RETRY_MILLISECONDS,
+    retryAfterMilliseconds = RETRY_AFTER_MILLISECONDS,
   ): void {
     const details = {detail: reason, step, peer, retryAfterMilliseconds};
     if (!this.submission.keyed) {
@@ -100,12 +101,12 @@
       return;
     }
     this.releaseSlot(beginning, WorkOutcome.NotDispatched);
-    this.note(life.lose(beginning));
+    this.recordState(requestState.endAsUnknown(beginning));
     const problem = new Problem(
       ProblemName.Unavailable,
       {
         ...details,
-        detail: `${reason}; this try did not run, an earlier one may have`,
+        detail: `${reason}; this attempt did not run, but an earlier one may have`,
       },
       AnswerOutcome.Unknown,
     );
@@ -114,17 +115,17 @@
     });
   }
 
-  /** Ends it as not run; what was reserved and placed is given back. */
-  refuse(from: life.BeforeDispatch, problem: Problem): void {
+  /** Ends the request as not run; releases its reservation and its slot. */
+  refuse(from: requestState.BeforeDispatch, problem: Problem): void {
     this.releaseSlot(from, WorkOutcome.NotDispatched);
     if ('reservation' in from && from.reservation !== undefined) {
       const {reservation} = from;
-      void this.parts.holder.abandon({...this.submission, reservation});
+      void this.dependencies.holder.abandon({...this.submission, reservation});
     }
-    this.note(life.refuse(from));
-    this.parts.metrics.increment('request.not-run');
-    this.parts.log.info('request-refused', {
-      ...this.fields,
+    this.recordState(requestState.refuse(from));
+    this.dependencies.metrics.increment('request.not-run');
+    this.dependencies.log.info('request-refused', {
+      ...this.logFields,
       problem: problem.problem,
       step: problem.details.step,
       peer: problem.details.peer,
@@ -134,21 +135,21 @@
     });
   }
 
-  /** Gives back the endpoint's slot that a state before dispatch holds. */
-  releaseSlot(from: life.BeforeDispatch, outcome: WorkOutcome): void {
+  /** Releases the endpoint slot that a state before dispatch occupies. */
+  releaseSlot(from: requestState.BeforeDispatch, outcome: WorkOutcome): void {
     const endpoint = 'placement' in from ? from.placement?.endpoint : undefined;
     if (endpoint !== undefined) {
       this.release(endpoint, outcome);
     }
   }
 
-  /** Tells the decisions that the work at an endpoint has ended. */
+  /** Releases an endpoint slot and reports the outcome to the dispatcher. */
   release(
     endpoint: string,
     outcome: WorkOutcome,
     usage?: RunResult['usage'],
   ): void {
-    this.parts.dispatcher.finished(this.submission.requestId, {
+    this.dependencies.dispatcher.finished(this.submission.requestId, {
       endpoint,
       outcome,
       promptTokens: usage?.promptTokens ?? 0,
@@ -156,9 +157,9 @@
     });
   }
 
-  /** Notes the state for whoever asks what became of the request. */
-  note<State extends life.Life>(state: State): State {
-    this.answer.note(state);
+  /** Records the state for inspection and for the log; returns it. */
+  recordState<State extends requestState.RequestState>(state: State): State {
+    this.answer.recordState(state);
     return state;
   }
 }
--- a/packages/router/src/submission-reader.ts
+++ b/packages/router/src/submission-reader.ts
@@ -23,7 +23,7 @@
 import {Problem, ProblemName} from './problem.js';
 import type {Submission} from './submission.js';
 
-/** What a caller sent, as far as every kind of request has it. */
+/** The fields that every kind of received request has. */
 export interface IncomingWork {
   readonly caller: AuthenticatedCaller;
   readonly idempotencyKey: string | undefined;
@@ -31,33 +31,36 @@
   readonly body: Uint8Array;
 }
 
-/** A plain call as it came. */
+/** A received call of a plain service. */
 export interface IncomingCall extends IncomingWork {
   readonly service: string;
   readonly call: string;
   readonly method: string;
-  /** With its question mark; empty where there is none. */
+  /** Query string with its leading question mark; empty if there is none. */
   readonly query: string;
   readonly contentType: string;
 }
 
-/** What is needed to understand requests. */
-export interface ReaderParts {
+/** Dependencies of the submission reader. */
+export interface SubmissionReaderDependencies {
   readonly endpoints: EndpointDirectory;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly incarnation: () => string;
 }
 
-/** Lower runs first at an engine. */
+/** Engine priorities; an engine runs lower values first. */
 const INTERACTIVE_PRIORITY = 0;
 const BATCH_PRIORITY = 10;
 
-/** Deadlines where the configuration sets none. */
+/** Deadlines if the configuration sets none. */
 const DEFAULT_INTERACTIVE_DEADLINE_MILLISECONDS = 5_000;
 const DEFAULT_BATCH_DEADLINE_MILLISECONDS = 60_000;
 
-/** Engines cache whole blocks; a prompt's first blocks are what callers share. */
+/**
+ * Engines cache prompts in whole blocks, and prompts of different requests share
+ * their first blocks, so only the first 16 blocks are hashed for cache affinity.
+ */
 const PREFIX_BLOCK_CHARACTERS = 256;
 const MAXIMUM_PREFIX_BLOCKS = 16;
 
@@ -72,7 +75,10 @@
   );
 }
 
-function deadline(limits: Limits | undefined, batch: boolean): number {
+function deadlineMilliseconds(
+  limits: Limits | undefined,
+  batch: boolean,
+): number {
   const configured = batch
     ? limits?.batchDeadlineMilliseconds
     : limits?.interactiveDeadlineMilliseconds;
@@ -82,14 +88,15 @@
   return configured === undefined || configured === 0 ? fallback : configured;
 }
 
-/** Turns what a caller sent into a submission, or into a problem. */
+/** Parses and validates received requests. */
 export class SubmissionReader {
-  constructor(private readonly parts: ReaderParts) {}
+  constructor(private readonly dependencies: SubmissionReaderDependencies) {}
 
   /**
    * Reads a chat completion.
    *
-   * @throws Problem where it is malformed, or names what the caller can't have.
+   * @throws Problem if the request is malformed, or the model is unknown or not
+   *     allowed for the organisation.
    */
   readChat(
     incoming: IncomingWork,
@@ -101,7 +108,7 @@
       configuration,
       chat.model,
     );
-    const {endpoints, clock} = this.parts;
+    const {endpoints, clock} = this.dependencies;
     const maximumOutputTokens = Math.min(
       chat.maximumOutputTokens ?? model.defaultOutputTokens,
       model.maximumOutputTokens,
@@ -128,7 +135,8 @@
       maximumOutputTokens,
       prefixHashes: prefixHashes(messages),
       deadlineAt:
-        clock.monotonicMilliseconds() + deadline(configuration.limits, batch),
+        clock.monotonicMilliseconds() +
+        deadlineMilliseconds(configuration.limits, batch),
       work,
     };
     return {submission, chat};
@@ -137,25 +145,25 @@
   /**
    * Reads a call of a plain service.
    *
-   * @throws Problem where it names what the caller can't have, or a call that
-   *     must run at most once comes without a key.
+   * @throws Problem if the call is unknown or not allowed for the organisation,
+   *     or a non-idempotent call has no key.
    */
   readCall(incoming: IncomingCall, configuration: Configuration): Submission {
     const {service, call} = this.findCall(incoming, configuration);
     if (!call.idempotent && incoming.idempotencyKey === undefined) {
       throw new Problem(ProblemName.MissingIdempotencyKey, {
-        detail: `${call.name} must run at most once: send an Idempotency-Key`,
+        detail: `${call.name} is not idempotent: send an Idempotency-Key`,
       });
     }
-    const {endpoints, clock} = this.parts;
-    const common = this.common(
+    const {endpoints, clock} = this.dependencies;
+    const commonFields = this.common(
       incoming,
       `${service.name}\u0000${call.name}\u0000${incoming.query}\u0000`,
     );
     const work = new PlainWork(
       {
-        requestId: common.requestId,
-        organisation: common.organisation,
+        requestId: commonFields.requestId,
+        organisation: commonFields.organisation,
         method: call.method,
         path: `${call.path}${incoming.query}`,
         contentType: incoming.contentType,
@@ -165,7 +173,7 @@
       endpoint => endpoints.plainService(endpoint),
     );
     return {
-      ...common,
+      ...commonFields,
       idempotent: call.idempotent,
       boundTokens: call.tokens,
       service: service.name,
@@ -175,7 +183,8 @@
       maximumOutputTokens: 0,
       prefixHashes: [],
       deadlineAt:
-        clock.monotonicMilliseconds() + deadline(configuration.limits, false),
+        clock.monotonicMilliseconds() +
+        deadlineMilliseconds(configuration.limits, false),
       work,
     };
   }
@@ -192,12 +201,13 @@
       ...identity,
       requestId:
         idempotencyKey === undefined
-          ? freshRequestId(this.parts.random)
+          ? freshRequestId(this.dependencies.random)
           : keyedRequestId(identity, idempotencyKey),
       keyed: idempotencyKey !== undefined,
-      mintedHere: minted?.incarnation === this.parts.incarnation(),
+      mintedHere: minted?.incarnation === this.dependencies.incarnation(),
       mintedElsewhere:
-        minted === undefined || minted.incarnation === this.parts.incarnation()
+        minted === undefined ||
+        minted.incarnation === this.dependencies.incarnation()
           ? undefined
           : minted,
       fingerprint: sha256Hex(Buffer.concat([Buffer.from(content), body])),
--- a/packages/router/src/submission.ts
+++ b/packages/router/src/submission.ts
@@ -1,18 +1,19 @@
 import type {WorkClass} from '@wisteriadeal/decisions';
 
 import type {EndpointWork} from './endpoint-work.js';
-import type {CallerIdentity, MintedKey} from './identity.js';
+import type {CallerIdentity, MintedKeyOwner} from './identity.js';
 
-/** A request that was read, checked and understood. */
+/** A parsed and validated request. */
 export interface Submission extends CallerIdentity {
   readonly requestId: string;
+  /** SHA-256 of the request's content. */
   readonly fingerprint: string;
-  /** The caller chose the key, so an earlier try may have run elsewhere. */
+  /** Whether the request has a key, so an earlier attempt may have run elsewhere. */
   readonly keyed: boolean;
-  /** The key was minted by this router, which alone may execute it. */
+  /** Whether this router minted the key; only it may execute the request. */
   readonly mintedHere: boolean;
-  /** The key was minted by another router, which alone may execute it. */
-  readonly mintedElsewhere: MintedKey | undefined;
+  /** The other router that minted the key, if any; only it may execute the request. */
+  readonly mintedElsewhere: MintedKeyOwner | undefined;
   readonly idempotent: boolean;
   readonly boundTokens: number;
   readonly service: string;
@@ -23,9 +24,9 @@
   readonly promptTokens: number;
   readonly maximumOutputTokens: number;
   readonly prefixHashes: readonly string[];
-  /** On the monotonic clock: the first token must be there by then. */
+  /** Monotonic time in milliseconds by which the first token is due. */
   readonly deadlineAt: number;
-  /** The caller has seen events up to this one; -1 for none. */
+  /** Index of the last event that the caller has received; -1 for none. */
   readonly lastEvent: number;
   readonly work: EndpointWork;
 }
--- a/packages/router/src/test/bad-input_test.ts
+++ b/packages/router/src/test/bad-input_test.ts
@@ -1,8 +1,8 @@
 import {connect} from 'node:net';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
-import {certify, chat, headersOf} from './caller.js';
-import {startRig, until, type RouterRig} from './router-rig.js';
+import {requestCertificate, chat, headersOf} from './caller.js';
+import {startRig, waitUntil, type RouterRig} from './router-rig.js';
 
 let rig: RouterRig;
 
@@ -21,7 +21,7 @@
   readonly detail: string;
 }
 
-/** What every refusal of bad input has in common. */
+/** Checks the properties that all refusals of invalid input share. */
 async function expectProblem(
   response: Response,
   status: number,
@@ -45,7 +45,7 @@
   });
 }
 
-/** Sends raw bytes and reads until the router ends the connection. */
+/** Sends raw bytes and reads until the router closes the connection. */
 function raw(text: string): Promise<string> {
   const [host = '', port] = rig.router.callerAddress.split(':');
   return new Promise(resolve => {
@@ -57,7 +57,7 @@
       seen += bytes.toString();
     });
     socket.on('error', () => {
-      // A reset after the answer; what counts is what was read.
+      // A reset may follow the answer; only the bytes read are checked.
     });
     socket.on('close', () => {
       resolve(seen);
@@ -65,9 +65,9 @@
   });
 }
 
-describe('bad input', () => {
-  // The caller gets a typed refusal that names what is wrong. Nothing of the
-  // request was acted on: no holder was asked and no endpoint was called.
+describe('invalid input', () => {
+  // The caller gets a typed refusal that names the error. The request is not
+  // acted on: no begin is sent to a holder and no endpoint is called.
   it.each([
     ['{"model":', 'the body is not JSON in UTF-8'],
     ['[]', 'the body is not a JSON object'],
@@ -99,9 +99,9 @@
     await expectProblem(response, 404, 'unknown-service');
   });
 
-  // A caller asks for a path without a route, by a wrong method, or with broken
-  // percent-encoding. restify's own error answer came after ours and its
-  // exception ended the process: one such request cut every open stream.
+  // A request has a path without a route, a wrong method, or invalid
+  // percent-encoding. restify's own error response after ours threw an exception
+  // that terminated the process, so one such request cut every open stream.
   it.each(['/nothing/here', '/v1/chat/completions', '/v1/services/%zz/x'])(
     'survives a request for %s',
     async path => {
@@ -114,7 +114,7 @@
     },
   );
 
-  it('refuses wrong credentials and never logs them', async () => {
+  it('refuses invalid credentials and never logs them', async () => {
     await expectProblem(
       await chat(rig.url, 'hello', {secret: 'guessed-secret'}),
       401,
@@ -127,13 +127,13 @@
 
   it('refuses a non-idempotent call without a key', async () => {
     await expectProblem(
-      await certify(rig.url, '{}'),
+      await requestCertificate(rig.url, '{}'),
       400,
       'missing-idempotency-key',
     );
   });
 
-  it('refuses a body over the limit, announced or not', async () => {
+  it('refuses a body over the limit, with Content-Length or chunked', async () => {
     const long = JSON.stringify({model: 'x'.repeat(2_000)});
     await expectProblem(await post(long), 413, 'body-too-large');
     const chunk = 'x'.repeat(1_500);
@@ -145,7 +145,7 @@
     expect(answer).toContain('problem:body-too-large');
   });
 
-  it('refuses a header bomb', async () => {
+  it('refuses headers over the limit', async () => {
     const headers = `X-Bomb: ${'x'.repeat(20_000)}\r\n`;
     const answer = await raw(
       `POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n${headers}\r\n`,
@@ -155,12 +155,12 @@
     expect(answer).toContain('"outcome":"not-run"');
   });
 
-  it('refuses what is no HTTP', async () => {
+  it('refuses bytes that are not HTTP', async () => {
     const answer = await raw('GARBAGE\r\n\r\n');
     expect(answer).toContain('problem:malformed-request');
   });
 
-  it('refuses a caller that sends too slowly', async () => {
+  it('refuses a body that is not received in time', async () => {
     const answer = await raw(
       'POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer clerk-secret\r\nContent-Length: 100\r\n\r\n{"model"',
     );
@@ -168,25 +168,25 @@
     expect(answer).toContain('problem:request-timeout');
   });
 
-  it('asked no holder and called no endpoint for any of it', () => {
-    expect(rig.keeper.heard('begin')).toEqual([]);
+  it('sent no begin and called no endpoint for any of them', () => {
+    expect(rig.keeper.receivedOf('begin')).toEqual([]);
     expect(rig.engine.starts).toBe(0);
     expect(rig.service.calls).toEqual([]);
   });
 });
 
-describe('a caller that hangs up in the middle of a stream', () => {
-  // The caller reads two events and goes. The router waits a moment for it to
-  // come back, cancels the stream at the engine, and bills what the engine says
-  // it generated: not the bound, since the budget would shrink for nothing.
-  it('has the stream cancelled and pays for what was generated', async () => {
-    rig.engine.scripts.push({holdsAfter: 2});
+describe('a caller that disconnects during a stream', () => {
+  // The caller disconnects after two events. The router waits for a reconnect,
+  // then cancels the stream at the engine and bills the tokens that the engine
+  // reports. Billing the bound would charge the budget for unused tokens.
+  it('gets its stream cancelled and is billed for generated tokens', async () => {
+    rig.engine.scripts.push({pausesAfter: 2});
     const gone = new AbortController();
     const response = await chat(rig.url, 'hello', {signal: gone.signal});
     expect(response.status).toBe(200);
     gone.abort();
-    await until(() => rig.keeper.heard('settle').length === 1);
-    const bill = rig.keeper.heard('settle')[0]?.bill;
+    await waitUntil(() => rig.keeper.receivedOf('settle').length === 1);
+    const bill = rig.keeper.receivedOf('settle')[0]?.bill;
     expect(rig.engine.cancelled).toEqual([bill?.attemptId]);
     expect(bill).toMatchObject({tokens: 5, confirmed: true, outcome: 4});
   });
--- a/packages/router/src/test/bound_test.ts
+++ b/packages/router/src/test/bound_test.ts
@@ -7,9 +7,9 @@
 
 const model = create(ModelSchema, {name: 'm', minimumBytesPerPromptToken: 2});
 
-// An engine's tokeniser covers at least the configured bytes with each token, so
-// no prompt has more tokens than the bound leaves for it.
-it('covers every prompt whose tokens have at least the smallest size', () => {
+// Each token of an engine's tokeniser covers at least the configured number of
+// bytes, so no prompt may have more tokens than the bound reserves for it.
+it('covers every prompt whose tokens have at least the minimum size', () => {
   fc.assert(
     fc.property(
       fc.array(fc.array(fc.integer({min: 2, max: 9}), {maxLength: 20}), {
@@ -30,7 +30,7 @@
   );
 });
 
-it('never charges more than was reserved, nor less than nothing', () => {
+it('never charges more than was reserved or a negative number', () => {
   fc.assert(
     fc.property(
       fc.double({min: -10, max: 1e9, noNaN: true}),
--- a/packages/router/src/test/caller-interface_test.ts
+++ b/packages/router/src/test/caller-interface_test.ts
@@ -1,9 +1,9 @@
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {certify, chat, headersOf, readStream} from './caller.js';
+import {requestCertificate, chat, headersOf, readStream} from './caller.js';
 import {
   startRig,
-  until,
+  waitUntil,
   type RigOptions,
   type RouterRig,
 } from './router-rig.js';
@@ -22,22 +22,22 @@
 });
 
 describe('the callers’ interface', () => {
-  it('streams a completion with ids, usage and the end mark', async () => {
+  it('streams a completion with event ids, usage and the end mark', async () => {
     const {url, keeper} = await start();
     const seen = await readStream(await chat(url, 'hello'));
     expect(seen.text).toBe('hello-0 hello-1 hello-2 hello-3 hello-4 ');
     expect(seen.lastId).toBe(6);
     expect(seen.whole).toBe(true);
     expect(seen.raw).toContain('"total_tokens":8');
-    await until(() => keeper.heard('settle').length === 1);
-    expect(keeper.heard('settle')[0]?.bill).toMatchObject({
+    await waitUntil(() => keeper.receivedOf('settle').length === 1);
+    expect(keeper.receivedOf('settle')[0]?.bill).toMatchObject({
       requestId: seen.requestId,
       tokens: 8,
       confirmed: true,
     });
   });
 
-  it('answers a completion as one object', async () => {
+  it('returns a completion without streaming as one object', async () => {
     const {url} = await start();
     const response = await chat(url, 'hello', {stream: false});
     expect(response.headers.get('x-outcome')).toBe('answered');
@@ -50,17 +50,19 @@
     });
   });
 
-  it('passes a plain call through and bills its price', async () => {
+  it('forwards a plain call and bills its configured tokens', async () => {
     const {url, keeper, service} = await start();
-    const response = await certify(url, '{"name":"A"}', {key: 'c-1'});
+    const response = await requestCertificate(url, '{"name":"A"}', {
+      key: 'c-1',
+    });
     expect(response.status).toBe(201);
     expect(await response.json()).toMatchObject({body: '{"name":"A"}'});
-    await until(() => keeper.heard('settle').length === 1);
-    expect(keeper.heard('settle')[0]?.bill?.tokens).toBe(7);
+    await waitUntil(() => keeper.receivedOf('settle').length === 1);
+    expect(keeper.receivedOf('settle')[0]?.bill?.tokens).toBe(7);
     expect([...service.executions.values()]).toEqual([1]);
   });
 
-  it('gives the exact rest after the last event seen', async () => {
+  it('returns exactly the events after Last-Event-ID', async () => {
     const {url} = await start();
     const whole = await readStream(await chat(url, 'hello'));
     const rest = await readStream(
