--- a/packages/router/src/test/caller.ts
+++ b/packages/router/src/test/caller.ts
@@ -1,6 +1,6 @@
-import {CLERK} from './router-rig.js';
+import {CLERK_SECRET} from './router-rig.js';
 
-/** A caller's request, as the tests vary it. */
+/** Options of a caller's request. */
 export interface CallOptions {
   readonly secret?: string;
   readonly key?: string;
@@ -8,24 +8,24 @@
   readonly signal?: AbortSignal;
 }
 
-/** A stream as its caller saw it. */
-export interface SeenStream {
+/** A stream as received by its caller. */
+export interface ReceivedStream {
   readonly status: number;
   readonly requestId: string;
   readonly text: string;
   readonly lastId: number;
-  /** The end mark came. */
+  /** Whether the end mark was received. */
   readonly whole: boolean;
-  /** The problem that ended it. */
+  /** The problem document that ended the stream, if any. */
   readonly problem: string | undefined;
   readonly raw: string;
 }
 
-/** Headers of a request. */
+/** Returns the headers of a request. */
 export function headersOf(options: CallOptions): Record<string, string> {
   return {
     'Content-Type': 'application/json',
-    Authorization: `Bearer ${options.secret ?? CLERK}`,
+    Authorization: `Bearer ${options.secret ?? CLERK_SECRET}`,
     ...(options.key === undefined ? {} : {'Idempotency-Key': options.key}),
     ...(options.lastEvent === undefined
       ? {}
@@ -33,7 +33,7 @@
   };
 }
 
-/** Asks for a completion. */
+/** Requests a completion. */
 export function chat(
   url: string,
   prompt: string,
@@ -51,8 +51,8 @@
   });
 }
 
-/** Issues a certificate. */
-export function certify(
+/** Requests a certificate from the plain service. */
+export function requestCertificate(
   url: string,
   body: string,
   options: CallOptions = {},
@@ -71,15 +71,15 @@
   return chunk.choices[0]?.delta?.content ?? '';
 }
 
-/** Reads a stream as far as it goes. */
-export async function readStream(response: Response): Promise<SeenStream> {
+/** Reads a stream until it ends or its connection breaks. */
+export async function readStream(response: Response): Promise<ReceivedStream> {
   let raw = '';
   try {
     for await (const bytes of response.body ?? []) {
       raw += Buffer.from(bytes as Uint8Array).toString();
     }
   } catch {
-    // The connection broke; what came is what the caller has.
+    // The connection broke; the bytes received so far are returned.
   }
   const data = [...raw.matchAll(/^id: (\d+)\ndata: (.*)$/gm)];
   return {
--- a/packages/router/src/test/dispatched-calls_test.ts
+++ b/packages/router/src/test/dispatched-calls_test.ts
@@ -2,15 +2,21 @@
 
 import {DispatchedCalls} from '../dispatched-calls.js';
 
-// A router that forgot a certificate which it dispatched, and then vouched for
-// its claim, would have it issued twice. After the first thing forgotten it
-// vouches for nothing.
-it('never calls unused what it may have forgotten', () => {
+// If a router evicted the record of a dispatched certificate and then reported
+// the claim as unused, the certificate would be issued twice. After the first
+// eviction, no call may be reported as never dispatched.
+it('reports no call as never dispatched after an eviction', () => {
   const calls = new DispatchedCalls(2);
-  expect(calls.isUnused('a')).toBe(true);
+  expect(calls.isNeverDispatched('a')).toBe(true);
   calls.add('a');
   calls.add('b');
-  expect([calls.isUnused('a'), calls.isUnused('x')]).toEqual([false, true]);
+  expect([calls.isNeverDispatched('a'), calls.isNeverDispatched('x')]).toEqual([
+    false,
+    true,
+  ]);
   calls.add('c');
-  expect([calls.isUnused('a'), calls.isUnused('x')]).toEqual([false, false]);
+  expect([calls.isNeverDispatched('a'), calls.isNeverDispatched('x')]).toEqual([
+    false,
+    false,
+  ]);
 });
--- a/packages/router/src/test/drain_test.ts
+++ b/packages/router/src/test/drain_test.ts
@@ -1,16 +1,16 @@
 import {expect, it} from 'vitest';
 
-import {certify, chat, readStream} from './caller.js';
+import {requestCertificate, chat, readStream} from './caller.js';
 import {FakeEngine} from './fake-engine.js';
-import {startRig, until} from './router-rig.js';
+import {startRig, waitUntil} from './router-rig.js';
 
 const STREAMS = 50;
 
-// A router is told to stop with fifty streams open. Their callers see them end
-// whole. New work is refused as not run while they go on, the balancer is told
-// first, and the keeper hears of every bill before the goodbye.
-it('ends fifty open streams whole in a graceful stop', async () => {
-  const scripts = Array.from({length: STREAMS}, () => ({holdsAfter: 2}));
+// A router is stopped while 50 streams are open. The router reports not ready to
+// the load balancer first, refuses new requests as not run, completes the open
+// streams, and sends every bill to the keeper before the goodbye.
+it('completes 50 open streams in a graceful shutdown', async () => {
+  const scripts = Array.from({length: STREAMS}, () => ({pausesAfter: 2}));
   const rig = await startRig({engine: new FakeEngine(scripts)});
   const open = await Promise.all(
     scripts.map((_, index) => chat(rig.url, `prompt${index}`)),
@@ -23,7 +23,7 @@
   const late = await chat(rig.url, 'late');
   expect(late.status).toBe(503);
   expect(late.headers.get('x-outcome')).toBe('not-run');
-  const keyed = await certify(rig.url, '{}', {key: 'c'});
+  const keyed = await requestCertificate(rig.url, '{}', {key: 'c'});
   expect(keyed.headers.get('x-outcome')).toBe('not-run');
   expect(rig.service.calls).toEqual([]);
   expect(left).toBe(false);
@@ -38,15 +38,15 @@
   expect(kinds.at(-1)).toBe('goodbye');
 });
 
-// The platform's list says that the only endpoint leaves. A stream that runs
-// there ends undisturbed; from the next message on it gets no new work.
-it('gives a leaving endpoint no new work and leaves its streams alone', async () => {
-  const rig = await startRig({engine: new FakeEngine([{holdsAfter: 2}])});
+// The platform's list reports the only endpoint as leaving. Its running stream
+// completes, and new requests are refused.
+it('places no new work at a leaving endpoint and completes its streams', async () => {
+  const rig = await startRig({engine: new FakeEngine([{pausesAfter: 2}])});
   const open = await chat(rig.url, 'hello');
-  rig.keeper.tell({
+  rig.keeper.broadcast({
     kind: {case: 'membership', value: {leavingEndpoints: ['engine-1']}},
   });
-  await until(() => rig.engine.starts === 1);
+  await waitUntil(() => rig.engine.starts === 1);
   await new Promise(resolve => setTimeout(resolve, 10));
   const refused = await chat(rig.url, 'late');
   expect(refused.status).toBe(503);
--- a/packages/router/src/test/fake-engine.ts
+++ b/packages/router/src/test/fake-engine.ts
@@ -12,21 +12,21 @@
   type EngineStream,
 } from '@wisteriadeal/platform';
 
-/** How one opening of a stream, a start or a resume, goes. */
+/** Scripted behaviour of one start or resume of a stream. */
 export interface StreamScript {
-  /** The opening fails with this fate. */
+  /** The start or resume fails with this fate. */
   readonly fails?: Fate;
-  /** The connection breaks after so many events in all. */
+  /** Event index at which the connection breaks. */
   readonly breaksAfter?: number;
-  /** The connection ends quietly, without the end mark, after so many events. */
+  /** Event index at which the stream closes without an error or an end event. */
   readonly truncatedAfter?: number;
-  /** Waits here until `release` is called. */
-  readonly holdsAfter?: number;
-  /** The stream is another attempt's. */
-  readonly echoes?: string;
-  /** Leaves one event out. */
+  /** Event index at which the stream pauses until `release` is called. */
+  readonly pausesAfter?: number;
+  /** Identifier of another attempt whose stream is returned. */
+  readonly otherAttemptId?: string;
+  /** Index of an event to leave out. */
   readonly skips?: number;
-  /** The engine forgets the attempt. */
+  /** The engine does not record the attempt. */
   readonly forgets?: boolean;
 }
 
@@ -39,16 +39,19 @@
 
 const PROMPT_TOKENS = 3;
 
-/** A model engine that a test scripts; it answers with numbered words. */
+/** A scripted model engine that answers with numbered words. */
 export class FakeEngine extends ModelEngine {
   readonly attempts = new Map<string, FakeAttempt>();
   readonly cancelled: string[] = [];
   leaving = false;
   loadReports = 0;
-  private held: (() => void)[] = [];
-  private releasedForever = false;
+  private pausedStreams: (() => void)[] = [];
+  private isReleased = false;
 
-  /** @param scripts How each opening goes, in order; then all goes well. */
+  /**
+   * @param scripts Behaviour of each start and resume, in order; later ones
+   *     succeed.
+   */
   constructor(
     readonly scripts: StreamScript[] = [],
     private readonly words = 5,
@@ -56,12 +59,12 @@
     super();
   }
 
-  /** Number of starts that reached the engine. */
+  /** Number of attempts that the engine has recorded. */
   get starts(): number {
     return this.attempts.size;
   }
 
-  /** The text of a whole answer of an attempt. */
+  /** Returns the complete text of an attempt's answer. */
   static text(request: CompletionRequest, words = 5): string {
     return FakeEngine.wordsOf(request, words).join('');
   }
@@ -72,10 +75,10 @@
     return Array.from({length: count}, (_, index) => `${subject}-${index} `);
   }
 
-  /** Lets everything that waits, and will wait, go on. */
+  /** Resumes all paused streams and prevents further pauses. */
   release(): void {
-    this.releasedForever = true;
-    for (const wake of this.held.splice(0)) {
+    this.isReleased = true;
+    for (const wake of this.pausedStreams.splice(0)) {
       wake();
     }
   }
@@ -150,8 +153,8 @@
     return Promise.resolve();
   }
 
-  /** An attempt that another router started. */
-  plant(request: CompletionRequest): void {
+  /** Adds an attempt as if another router had started it. */
+  addAttempt(request: CompletionRequest): void {
     this.attempts.set(request.attemptId, {
       request,
       words: FakeEngine.wordsOf(request, this.words),
@@ -172,7 +175,7 @@
     const state: {end: EngineEnd | undefined} = {end: undefined};
     const events = this.generate(attemptId, afterIndex, script, state);
     return {
-      attemptId: script.echoes ?? attemptId,
+      attemptId: script.otherAttemptId ?? attemptId,
       events,
       get end() {
         return state.end;
@@ -192,12 +195,12 @@
     const attempt = this.attempts.get(attemptId);
     const words = attempt?.words ?? [];
     for (let index = afterIndex + 1; index <= words.length; index++) {
-      await this.obey(script, index);
+      await this.applyScript(script, index);
       if (index === script.truncatedAfter) {
         return;
       }
       const text =
-        script.echoes === undefined ? words[index] : `stolen-${index} `;
+        script.otherAttemptId === undefined ? words[index] : `stolen-${index} `;
       if (index === script.skips) {
         continue;
       }
@@ -212,19 +215,22 @@
     };
   }
 
-  private async obey(script: StreamScript, index: number): Promise<void> {
+  private async applyScript(
+    script: StreamScript,
+    index: number,
+  ): Promise<void> {
     if (index === script.breaksAfter) {
       throw this.failure(Fate.Unknown);
     }
-    if (index === script.holdsAfter && !this.releasedForever) {
+    if (index === script.pausesAfter && !this.isReleased) {
       await new Promise<void>(resolve => {
-        this.held.push(resolve);
+        this.pausedStreams.push(resolve);
       });
     }
   }
 }
 
-/** Hands out the engines of a test by endpoint. */
+/** Returns the engines of a test by endpoint. */
 export class FakeEngineFactory extends ModelEngineFactory {
   constructor(private readonly engines: Readonly<Record<string, FakeEngine>>) {
     super();
--- a/packages/router/src/test/fake-keeper.ts
+++ b/packages/router/src/test/fake-keeper.ts
@@ -14,7 +14,7 @@
   type RouterMessage,
 } from '@wisteriadeal/schema';
 
-import {KeeperConnector, type KeeperLink} from '../keeper-link.js';
+import {KeeperConnector, type KeeperStream} from '../keeper-connector.js';
 
 type BeginAnswerInit = MessageInitShape<typeof BeginAnswerSchema>;
 type KeeperMessageInit = MessageInitShape<typeof KeeperMessageSchema>;
@@ -37,12 +37,12 @@
   router: ProcessIdentity | undefined;
 }
 
-/** A keeper that a test scripts; it keeps every message that it got. */
+/** A scripted keeper that records every message it receives. */
 export class FakeKeeper extends KeeperConnector {
   readonly received: RouterMessage[] = [];
-  /** Settlements go unacknowledged while false. */
+  /** Whether settlements are acknowledged. */
   acknowledges = true;
-  /** Nobody answers while true. */
+  /** Whether new sessions are closed at once. */
   unreachable = false;
   membership: MembershipInit = {};
   version = 1;
@@ -57,7 +57,7 @@
     super();
   }
 
-  override open(address: string): KeeperLink {
+  override open(address: string): KeeperStream {
     const queue = new MessageQueue<KeeperMessage>();
     const session: OpenSession = {queue, router: undefined};
     if (this.unreachable) {
@@ -67,7 +67,11 @@
     }
     return {
       send: message => {
-        this.hear(session, create(RouterMessageSchema, message), address);
+        this.handleMessage(
+          session,
+          create(RouterMessageSchema, message),
+          address,
+        );
       },
       messages: queue,
       close: () => {
@@ -77,29 +81,29 @@
     };
   }
 
-  /** Messages of one kind, in the order in which they came. */
-  heard<Case extends MessageCase>(wanted: Case): readonly ValueOf<Case>[] {
+  /** Returns the messages of one kind, in the order received. */
+  receivedOf<Case extends MessageCase>(wanted: Case): readonly ValueOf<Case>[] {
     return this.received
       .filter(({kind}) => kind.case === wanted)
       .map(({kind}) => kind.value as ValueOf<Case>);
   }
 
   /** Sends a message to every router. */
-  tell(message: KeeperMessageInit): void {
+  broadcast(message: KeeperMessageInit): void {
     for (const {queue} of this.sessions) {
       queue.push(create(KeeperMessageSchema, message));
     }
   }
 
-  /** Ends every session, as a crash would. */
-  loseSessions(): void {
+  /** Closes every session, as a crash would. */
+  closeSessions(): void {
     for (const {queue} of this.sessions) {
       queue.close();
     }
     this.sessions.clear();
   }
 
-  private hear(
+  private handleMessage(
     session: OpenSession,
     message: RouterMessage,
     address: string,
--- a/packages/router/src/test/fake-plain-service.ts
+++ b/packages/router/src/test/fake-plain-service.ts
@@ -7,16 +7,16 @@
   type PlainCall,
 } from '@wisteriadeal/platform';
 
-/** How one call goes. */
+/** Scripted behaviour of one call. */
 export enum CallScript {
   Answers,
-  /** It has its effect, and the answer is lost. */
+  /** The call takes effect, but its answer is lost. */
   LosesAnswer,
   /** The connection is refused. */
   Refuses,
 }
 
-/** A plain service that counts its executions. */
+/** A scripted plain service that counts executions. */
 export class FakePlainService extends PlainService {
   readonly executions = new Map<string, number>();
   readonly calls: PlainCall[] = [];
@@ -66,7 +66,7 @@
   }
 }
 
-/** Hands out one service for every endpoint. */
+/** Returns the same service for every endpoint. */
 export class FakePlainServiceFactory extends PlainServiceFactory {
   constructor(private readonly service: FakePlainService) {
     super();
--- a/packages/router/src/test/golden-sessions_test.ts
+++ b/packages/router/src/test/golden-sessions_test.ts
@@ -2,19 +2,24 @@
 import {RandomSource} from '@wisteriadeal/platform';
 import {afterEach, expect, it} from 'vitest';
 
-import {BookingKeeper} from './booking-keeper.js';
-import {certify, chat, readStream, type CallOptions} from './caller.js';
+import {StatefulFakeKeeper} from './stateful-fake-keeper.js';
+import {
+  requestCertificate,
+  chat,
+  readStream,
+  type CallOptions,
+} from './caller.js';
 import {FakeEngine, type StreamScript} from './fake-engine.js';
 import {CallScript, FakePlainService} from './fake-plain-service.js';
 import {
-  HurriedClock,
+  AcceleratedClock,
   startRig,
   testConfiguration,
-  until,
+  waitUntil,
   type RouterRig,
 } from './router-rig.js';
 
-/** Counts up, so that every identifier is the same in each run. */
+/** Returns consecutive identifiers, so that they are the same in each run. */
 class CountingRandomSource extends RandomSource {
   private count = 0;
 
@@ -27,8 +32,8 @@
   }
 }
 
-/** A wall clock that stands still, for the dates in answers. */
-class GoldenClock extends HurriedClock {
+/** Has a constant wall clock, so that dates in answers are reproducible. */
+class FixedWallClock extends AcceleratedClock {
   override wallMilliseconds(): number {
     return 0;
   }
@@ -41,10 +46,10 @@
   calls: CallScript[] = [],
 ): Promise<RouterRig> {
   const rig = await startRig({
-    keeper: new BookingKeeper(testConfiguration()),
+    keeper: new StatefulFakeKeeper(testConfiguration()),
     engine: new FakeEngine(scripts),
     service: new FakePlainService(calls),
-    clock: new GoldenClock(),
+    clock: new FixedWallClock(),
     random: new CountingRandomSource(),
   });
   rigs.push(rig);
@@ -70,8 +75,8 @@
   return `${lines.join('\n')}\n${(await readStream(response)).raw.trim()}\n`;
 }
 
-/** What the holder heard, without what differs from run to run. */
-function heard(rig: RouterRig): string {
+/** Formats the messages the holder received, without fields that vary by run. */
+function formatReceived(rig: RouterRig): string {
   const lines = rig.keeper.received.map(({kind}) => {
     switch (kind.case) {
       case 'begin':
@@ -95,21 +100,21 @@
   await expect(session).toMatchFileSnapshot(path.pathname);
 }
 
-async function settled(rig: RouterRig, count = 1): Promise<void> {
-  await until(() => rig.keeper.heard('settle').length === count);
+async function waitForSettlements(rig: RouterRig, count = 1): Promise<void> {
+  await waitUntil(() => rig.keeper.receivedOf('settle').length === count);
 }
 
 const KEYED: CallOptions = {key: 'k'};
 
-it('a stream', async () => {
+it('streams a completion', async () => {
   const rig = await start();
   const seen = await transcript('stream', await chat(rig.url, 'hello'));
-  await settled(rig);
-  await expectGolden('stream', [seen, heard(rig)]);
+  await waitForSettlements(rig);
+  await expectGolden('stream', [seen, formatReceived(rig)]);
 });
 
-it('a retry that joins', async () => {
-  const rig = await start([{holdsAfter: 2}]);
+it('joins a retry to a running request', async () => {
+  const rig = await start([{pausesAfter: 2}]);
   const first = await chat(rig.url, 'hello', KEYED);
   const retry = chat(rig.url, 'hello', KEYED);
   rig.engine.release();
@@ -117,22 +122,22 @@
     await transcript('first', first),
     await transcript('retry', await retry),
   ];
-  await settled(rig);
-  await expectGolden('retry-joined', [...parts, heard(rig)]);
+  await waitForSettlements(rig);
+  await expectGolden('retry-joined', [...parts, formatReceived(rig)]);
 });
 
-it('a resume', async () => {
+it('resumes a truncated stream and a read with Last-Event-ID', async () => {
   const rig = await start([{truncatedAfter: 2}]);
   const whole = await transcript('first', await chat(rig.url, 'hello', KEYED));
   const rest = await transcript(
     'again with Last-Event-ID: 2',
     await chat(rig.url, 'hello', {...KEYED, lastEvent: 2}),
   );
-  await settled(rig);
-  await expectGolden('resume', [whole, rest, heard(rig)]);
+  await waitForSettlements(rig);
+  await expectGolden('resume', [whole, rest, formatReceived(rig)]);
 });
 
-it('a refusal', async () => {
+it('refuses a request that exceeds the budget', async () => {
   const rig = await start();
   rig.keeper.verdict = () => ({
     verdict: BeginVerdict.BUDGET,
@@ -140,21 +145,24 @@
     retryAfterMilliseconds: 1_500,
   });
   const refused = await transcript('stream', await chat(rig.url, 'hello'));
-  await expectGolden('refusal', [refused, heard(rig)]);
+  await expectGolden('refusal', [refused, formatReceived(rig)]);
 });
 
-it('an outcome unknown', async () => {
+it('reports an unknown outcome to the caller and to its retry', async () => {
   const rig = await start([], [CallScript.LosesAnswer]);
   const parts = [
-    await transcript('certificate', await certify(rig.url, '{}', KEYED)),
-    await transcript('retry', await certify(rig.url, '{}', KEYED)),
+    await transcript(
+      'certificate',
+      await requestCertificate(rig.url, '{}', KEYED),
+    ),
+    await transcript('retry', await requestCertificate(rig.url, '{}', KEYED)),
   ];
-  await settled(rig);
-  await expectGolden('outcome-unknown', [...parts, heard(rig)]);
+  await waitForSettlements(rig);
+  await expectGolden('outcome-unknown', [...parts, formatReceived(rig)]);
 });
 
-it('a drain', async () => {
-  const rig = await start([{holdsAfter: 2}]);
+it('drains an open stream and refuses a late request', async () => {
+  const rig = await start([{pausesAfter: 2}]);
   rigs = [];
   const open = await chat(rig.url, 'hello');
   const closing = rig.router.close();
@@ -163,5 +171,5 @@
   rig.engine.release();
   const ended = await transcript('open', open);
   await closing;
-  await expectGolden('drain', [ready, late, ended, heard(rig)]);
+  await expectGolden('drain', [ready, late, ended, formatReceived(rig)]);
 });
--- a/packages/router/src/test/keeper-directory_test.ts
+++ b/packages/router/src/test/keeper-directory_test.ts
@@ -11,18 +11,18 @@
 
 import {HolderClient} from '../holder-client.js';
 import {KeeperDirectory} from '../keeper-directory.js';
-import {KeeperConnector, type KeeperLink} from '../keeper-link.js';
+import {KeeperConnector, type KeeperStream} from '../keeper-connector.js';
 import type {BeginFields} from '../keeper-session.js';
 import {FakeKeeper} from './fake-keeper.js';
-import {HurriedClock, testConfiguration, until} from './router-rig.js';
+import {AcceleratedClock, testConfiguration, waitUntil} from './router-rig.js';
 
-/** Two keepers of the data centre, by address. */
+/** Connects to two fake keepers of the data centre by address. */
 class TwoKeepers extends KeeperConnector {
   constructor(private readonly keepers: Readonly<Record<string, FakeKeeper>>) {
     super();
   }
 
-  override open(address: string): KeeperLink {
+  override open(address: string): KeeperStream {
     const keeper = this.keepers[address];
     if (keeper === undefined) {
       throw new Error(`no keeper at ${address}`);
@@ -49,7 +49,7 @@
 const reserved = {
   requestId: 'req_1',
   organisation: 'hotel-school',
-  reservation: {grantId: 'grant-1', holder: one, witness: two, askedAt: 0},
+  reservation: {grantId: 'grant-1', holder: one, witness: two, beginSentAt: 0},
 };
 
 let directory: KeeperDirectory;
@@ -75,11 +75,11 @@
     ],
   };
   const versions: number[] = [];
-  const clock = new HurriedClock();
+  const clock = new AcceleratedClock();
   const log = EventLog.create(LogLevel.ERROR, {}, () => undefined);
   directory = new KeeperDirectory(
     {
-      self: () => create(ProcessIdentitySchema, {incarnation: 'r'}),
+      identity: () => create(ProcessIdentitySchema, {incarnation: 'r'}),
       dataCenter: 'kigali-1',
       localKeeper: 'a:1',
       connector: new TwoKeepers(keepers),
@@ -89,8 +89,8 @@
     {
       configurationChanged: ({version}) => versions.push(version),
       membershipChanged: () => undefined,
-      settled: requestId => {
-        holder.settled(requestId);
+      settlementAcknowledged: requestId => {
+        holder.settlementAcknowledged(requestId);
       },
     },
   );
@@ -103,25 +103,25 @@
   await directory.close();
 });
 
-// A keeper that restarted during a platform outage knows an older version only.
-// Taking it would revert what an operator published.
-it('takes only rising configuration versions', async () => {
+// A keeper that restarted during a platform outage has only an older version.
+// Applying it would revert what an operator published.
+it('ignores configurations older than the current one', async () => {
   const {first, second, versions} = start(5, 3);
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   const configuration = testConfiguration();
-  first.tell({
+  first.broadcast({
     kind: {case: 'configuration', value: {version: 4, configuration}},
   });
-  second.tell({
+  second.broadcast({
     kind: {case: 'configuration', value: {version: 6, configuration}},
   });
-  await until(() => versions.includes(6));
+  await waitUntil(() => versions.includes(6));
   expect(versions).toEqual([5, 6]);
 });
 
-it('asks the keeper that a wrong one names, a bounded number of times', async () => {
+it('follows NOT_HOLDER verdicts to the named keeper, up to 4 begins', async () => {
   const {first, second, holder} = start();
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   const name = (other: string) => () => ({
     verdict: BeginVerdict.NOT_HOLDER,
     holder: other,
@@ -133,18 +133,17 @@
   second.received.length = 0;
   await expect(holder.begin(begin)).rejects.toThrow();
   const asked: readonly BeginRequest[] = [
-    ...first.heard('begin'),
-    ...second.heard('begin'),
+    ...first.receivedOf('begin'),
+    ...second.receivedOf('begin'),
   ];
   expect(asked).toHaveLength(4);
 });
 
-// The holder takes the settlement but its acknowledgement is lost with it. The
-// usage must not be lost: it goes to the witness, again and again, until one of
-// them says that it has it.
-it('settles at the witness when the holder is lost, until acknowledged', async () => {
+// The holder receives the settlement but is lost before it acknowledges it. To
+// preserve the usage, the settlement is resent to the witness until acknowledged.
+it('resends a settlement to the witness when the holder is lost', async () => {
   const {first, second, holder} = start();
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   first.acknowledges = false;
   second.acknowledges = false;
   let done = false;
@@ -153,22 +152,23 @@
     .then(() => {
       done = true;
     });
-  await until(() => first.heard('settle').length >= 2);
+  await waitUntil(() => first.receivedOf('settle').length >= 2);
   first.unreachable = true;
-  first.loseSessions();
-  await until(() => second.heard('settle').length >= 2);
+  first.closeSessions();
+  await waitUntil(() => second.receivedOf('settle').length >= 2);
   expect(done).toBe(false);
   second.acknowledges = true;
   await settling;
-  expect(second.heard('settle').at(-1)?.bill?.tokens).toBe(4);
+  expect(second.receivedOf('settle').at(-1)?.bill?.tokens).toBe(4);
   expect(holder.openSettlements).toBe(0);
 });
 
-// A begin's answer is lost; the keeper may have reserved. Unless it is released
-// first, the next begin is taken for a retry of what runs at this very router.
-it('abandons a begin without an answer before it begins again', async () => {
+// The answer to a begin is lost, and the keeper may have made a reservation.
+// Unless it is released first, the keeper treats the next begin as a retry of a
+// request that already runs at this router.
+it('abandons an unanswered begin before the next begin', async () => {
   const {first, second, holder} = start();
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   let begins = 0;
   const verdict = () =>
     ++begins === 1 ? undefined : {verdict: BeginVerdict.RESERVED};
@@ -185,18 +185,18 @@
   ]);
 });
 
-it('names the begins without an answer when it abandons them', async () => {
-  // Guards against bills for requests whose callers were told that nothing ran.
+// Guards against bills for requests that were reported to callers as not run.
+it('sends the numbers of unanswered begins when it abandons them', async () => {
   const {first, second, holder} = start();
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   first.verdict = () => undefined;
   second.verdict = () => undefined;
   await expect(holder.begin(begin)).rejects.toThrow('begin at the holder');
   const heard = <Case extends 'begin' | 'abandon'>(kind: Case) => [
-    ...first.heard(kind),
-    ...second.heard(kind),
+    ...first.receivedOf(kind),
+    ...second.receivedOf(kind),
   ];
-  await until(() => heard('abandon').length === 4);
+  await waitUntil(() => heard('abandon').length === 4);
   const numbers = heard('begin')
     .map(({beginNumber}) => beginNumber)
     .sort((a, b) => a - b);
@@ -208,13 +208,16 @@
   );
 });
 
-it('fails a begin whose session is lost, and abandons it', async () => {
+it('fails and abandons a begin that is never answered', async () => {
   const {first, second, holder} = start();
-  await until(() => directory.openSessions().length === 2);
+  await waitUntil(() => directory.openSessions().length === 2);
   first.verdict = () => undefined;
   second.verdict = () => undefined;
   await expect(holder.begin(begin)).rejects.toThrow('begin at the holder');
-  await until(
-    () => first.heard('abandon').length + second.heard('abandon').length === 4,
+  await waitUntil(
+    () =>
+      first.receivedOf('abandon').length +
+        second.receivedOf('abandon').length ===
+      4,
   );
 });
--- a/packages/router/src/test/router-rig.ts
+++ b/packages/router/src/test/router-rig.ts
@@ -20,7 +20,7 @@
 } from '@wisteriadeal/schema';
 import {createHash} from 'node:crypto';
 
-import {ConnectRouterConnector} from '../router-attacher.js';
+import {ConnectRouterConnector} from '../router-connector.js';
 import {Router} from '../router.js';
 import {FakeEngine, FakeEngineFactory} from './fake-engine.js';
 import {FakeKeeper} from './fake-keeper.js';
@@ -30,27 +30,29 @@
 } from './fake-plain-service.js';
 
 /** Credentials of the callers in the test configuration. */
-export const CLERK = 'clerk-secret';
-export const RIVAL = 'rival-secret';
+export const CLERK_SECRET = 'clerk-secret';
+export const OTHER_ORGANISATION_SECRET = 'rival-secret';
 
-/** Hash of a credential as the configuration holds it. */
+/** Returns the hash of a credential, as stored in the configuration. */
 function hashed(secret: string): string {
   return createHash('sha256').update(secret).digest('hex');
 }
 
-/** Two organisations, one model service with one engine, one plain service. */
+/** Has two organisations, a model service with one engine, and a plain service. */
 export function testConfiguration(): Configuration {
   return create(ConfigurationSchema, {
     organisations: [
       {
         name: 'hotel-school',
-        callers: [{name: 'clerk', credentialSha256: hashed(CLERK)}],
+        callers: [{name: 'clerk', credentialSha256: hashed(CLERK_SECRET)}],
         services: ['tutor-models', 'registry-app'],
         weight: 1,
       },
       {
         name: 'bar-school',
-        callers: [{name: 'clerk', credentialSha256: hashed(RIVAL)}],
+        callers: [
+          {name: 'clerk', credentialSha256: hashed(OTHER_ORGANISATION_SECRET)},
+        ],
         services: ['tutor-models', 'registry-app'],
         weight: 1,
       },
@@ -118,7 +120,7 @@
   });
 }
 
-/** A router on loopback between fakes. */
+/** A router on the loopback interface, with fakes for the other processes. */
 export interface RouterRig {
   readonly router: Router;
   readonly keeper: FakeKeeper;
@@ -129,7 +131,7 @@
   readonly url: string;
 }
 
-/** What a test hands in; the rest goes well. */
+/** Fakes and settings of a test; the defaults simulate no failures. */
 export interface RigOptions {
   readonly keeper?: FakeKeeper;
   readonly engine?: FakeEngine;
@@ -141,9 +143,9 @@
   readonly engineFactory?: ModelEngineFactory;
 }
 
-/** Sleeps fifty times as fast, so that tests needn't wait for pauses. */
-export class HurriedClock extends SystemClock {
-  /** What a pause of the process adds to its clock. */
+/** Divides sleep durations by 50 to shorten tests. */
+export class AcceleratedClock extends SystemClock {
+  /** Offset of the monotonic clock, to simulate a pause of the process. */
   pausedMilliseconds = 0;
 
   override monotonicMilliseconds(): number {
@@ -155,8 +157,8 @@
   }
 }
 
-/** Polls until a condition holds. */
-export async function until(condition: () => boolean): Promise<void> {
+/** Polls until a condition is true. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 2));
   }
--- a/packages/router/src/verdicts.ts
+++ b/packages/router/src/verdicts.ts
@@ -2,10 +2,10 @@
 import {BeginVerdict, Outcome, type BeginAnswer} from '@wisteriadeal/schema';
 
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
-import type {RunOutcome} from './request-life.js';
+import type {RunOutcome} from './request-state.js';
 import type {Submission} from './submission.js';
 
-/** The problem of a holder's verdict that is no leave to run. */
+/** Returns the problem for a holder's verdict that does not permit a run. */
 export function problemOfVerdict(answer: BeginAnswer): Problem {
   const step = 'begin at the holder';
   const peer = answer.holder;
@@ -23,7 +23,7 @@
       });
     case BeginVerdict.CONFLICT:
       return new Problem(ProblemName.KeyReused, {
-        detail: 'the same Idempotency-Key came with other content',
+        detail: 'the Idempotency-Key was already used with different content',
         step,
         peer,
       });
@@ -33,7 +33,7 @@
       return new Problem(ProblemName.OutcomeUnknown, {
         detail:
           answer.reason === ''
-            ? 'it was dispatched, its router was lost, and it may not run again'
+            ? 'the request was dispatched, its router was lost, and it must not run again'
             : answer.reason,
         step,
         peer,
@@ -41,7 +41,7 @@
   }
 }
 
-/** The problem of work that got no endpoint. */
+/** Returns the problem for a request that was not placed at an endpoint. */
 export function problemOfRefusal(
   refusal: RefuseDecision | 'withdrawn',
   submission: Submission,
@@ -60,33 +60,33 @@
   );
 }
 
-/** The problem of a request whose answer no router keeps any more. */
+/** Returns the problem for a request whose answer is no longer kept. */
 export function answerGoneProblem(peer: string): Problem {
   return new Problem(ProblemName.AnswerGone, {
-    detail: 'it was answered and billed; the answer is no longer kept',
+    detail: 'the request was answered and billed; its answer is no longer kept',
     step: 'begin at the holder',
     peer,
   });
 }
 
-/** What is noted of a request whose caller left before it was dispatched. */
+/** Returns the problem for a caller that disconnected before dispatch. */
 export function withdrawnProblem(): Problem {
   return new Problem(ProblemName.Overloaded, {
-    detail: 'the caller hung up before the request was dispatched',
+    detail: 'the caller disconnected before the request was dispatched',
     step: 'place',
   });
 }
 
-/** The refusal of a call whose claim may have been given up meanwhile. */
-export function claimLostProblem(): Problem {
+/** Returns the refusal of a call whose claim may no longer be valid. */
+export function claimExpiredProblem(): Problem {
   return new Problem(ProblemName.Unavailable, {
-    detail: 'the claim came too late to be relied upon; send it again',
+    detail: 'the claim may have expired; send the request again',
     step: 'dispatch',
     retryAfterMilliseconds: 0,
   });
 }
 
-/** The refusal of a router that leaves. */
+/** Returns the refusal of a router that is draining. */
 export function drainingProblem(): Problem {
   return new Problem(ProblemName.Draining, {
     detail: 'this entry host is leaving; another one takes the request',
@@ -94,7 +94,7 @@
   });
 }
 
-/** The outcome that a bill records. */
+/** Returns the outcome to record in a bill. */
 export function billOutcome(outcome: RunOutcome, cancelled: boolean): Outcome {
   if (cancelled) {
     return Outcome.CANCELLED;
