--- a/packages/router/src/answer.ts
+++ b/packages/router/src/answer.ts
@@ -16,7 +16,7 @@
 }
 
 /** How an answer ended: complete, or with a problem. */
-export type AnswerEnd = {readonly whole: true} | {readonly problem: Problem};
+export type AnswerEnd = {readonly complete: true} | {readonly problem: Problem};
 
 const RUN_PROBLEMS: ReadonlySet<ProblemName> = new Set([
   ProblemName.FailedAfterRunning,
@@ -65,7 +65,7 @@
     const {end} = this;
     return (
       end !== undefined &&
-      ('whole' in end || RUN_PROBLEMS.has(end.problem.problem))
+      ('complete' in end || RUN_PROBLEMS.has(end.problem.problem))
     );
   }
 
@@ -144,10 +144,10 @@
 
   /** Yields the events after `lastSeen` until the answer ends or `signal` aborts. */
   async *read(
-    lastSeen: number,
+    lastEvent: number,
     signal?: AbortSignal,
   ): AsyncGenerator<AnswerEvent, void> {
-    for (let next = lastSeen + 1; ; next++) {
+    for (let next = lastEvent + 1; ; next++) {
       await this.waitForEvent(next, signal);
       const event = this.events[next];
       if (event === undefined || signal?.aborted === true) {
--- a/packages/router/src/bound.ts
+++ b/packages/router/src/bound.ts
@@ -53,6 +53,6 @@
  * the bound was never reserved, and charging it could exceed the organisation's
  * budget.
  */
-export function charge(usedTokens: number, bound: number): number {
+export function chargedTokens(usedTokens: number, bound: number): number {
   return Math.min(Math.max(0, Math.ceil(usedTokens)), bound);
 }
--- a/packages/router/src/composition.ts
+++ b/packages/router/src/composition.ts
@@ -49,10 +49,10 @@
   const container = createContainer(settings);
   const dependencies: RouterDependencies = {
     settings,
-    keepers: container.get(KeeperConnector),
-    routers: container.get(RouterConnector),
-    engines: container.get(ModelEngineFactory),
-    plainServices: container.get(PlainServiceFactory),
+    keeperConnector: container.get(KeeperConnector),
+    routerConnector: container.get(RouterConnector),
+    engineFactory: container.get(ModelEngineFactory),
+    plainServiceFactory: container.get(PlainServiceFactory),
     clock: container.get(Clock),
     random: container.get(RandomSource),
     log: EventLog.create(settings.process?.logLevel ?? LogLevel.INFO, {
--- a/packages/router/src/credentials.ts
+++ b/packages/router/src/credentials.ts
@@ -7,7 +7,7 @@
   readonly caller: string;
 }
 
-interface KnownCredential {
+interface ConfiguredCredential {
   readonly digest: Buffer;
   readonly caller: AuthenticatedCaller;
 }
@@ -23,10 +23,10 @@
  * of a guess was correct nor which organisation a credential belongs to.
  */
 export class Credentials {
-  private readonly known: readonly KnownCredential[];
+  private readonly credentials: readonly ConfiguredCredential[];
 
   constructor(configuration: Configuration) {
-    this.known = configuration.organisations.flatMap(organisation =>
+    this.credentials = configuration.organisations.flatMap(organisation =>
       organisation.callers
         .map(caller => ({
           digest: Buffer.from(caller.credentialSha256, 'hex'),
@@ -51,7 +51,7 @@
     }
     const digest = createHash('sha256').update(secret).digest();
     let found: AuthenticatedCaller | undefined;
-    for (const candidate of this.known) {
+    for (const candidate of this.credentials) {
       if (timingSafeEqual(candidate.digest, digest)) {
         found = candidate.caller;
       }
--- a/packages/router/src/dispatch-run.ts
+++ b/packages/router/src/dispatch-run.ts
@@ -3,7 +3,7 @@
 import {Fate, StepError} from '@wisteriadeal/platform';
 import {BillSchema} from '@wisteriadeal/schema';
 
-import {charge} from './bound.js';
+import {chargedTokens} from './bound.js';
 import type {RunResult} from './endpoint-work.js';
 import {freshAttemptId} from './identity.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
@@ -56,7 +56,7 @@
     const {submission, dependencies} = this.context;
     if (
       !submission.idempotent &&
-      !dependencies.holder.isClaimValid(reserved.reservation)
+      !dependencies.holderClient.isClaimValid(reserved.reservation)
     ) {
       this.context.refuse(reserved, claimExpiredProblem());
       return undefined;
@@ -159,7 +159,10 @@
   ): void {
     const {submission, dependencies} = this.context;
     const {reservation, attempt} = from;
-    dependencies.holder.sendDispatching({...submission, reservation}, attempt);
+    dependencies.holderClient.sendDispatching(
+      {...submission, reservation},
+      attempt,
+    );
   }
 
   private createStartedHook(from: requestState.AfterDispatch): () => void {
@@ -187,7 +190,7 @@
     this.context.answer.shouldKeep = true;
     this.context.answer.finish(
       problem === undefined
-        ? {whole: true}
+        ? {complete: true}
         : {problem: problem.forRequest(this.context.submission.requestId)},
     );
     const outcome = result.cancelled
@@ -216,7 +219,7 @@
     const bill = create(BillSchema, {
       requestId,
       grantId: settling.reservation.grantId,
-      tokens: charge(usedTokens, boundTokens),
+      tokens: chargedTokens(usedTokens, boundTokens),
       promptTokens: usage?.promptTokens ?? 0,
       completionTokens: usage?.completionTokens ?? 0,
       confirmed: usage !== undefined,
@@ -226,7 +229,7 @@
       caller,
     });
     const {reservation} = settling;
-    return this.context.dependencies.holder.settle(
+    return this.context.dependencies.holderClient.settle(
       {requestId, organisation, reservation},
       bill,
     );
--- a/packages/router/src/endpoint-directory.ts
+++ b/packages/router/src/endpoint-directory.ts
@@ -35,8 +35,8 @@
 
 /** Dependencies of the directory. */
 export interface EndpointDirectoryOptions {
-  readonly engines: ModelEngineFactory;
-  readonly plainServices: PlainServiceFactory;
+  readonly engineFactory: ModelEngineFactory;
+  readonly plainServiceFactory: PlainServiceFactory;
   readonly dispatcher: LoadDispatcher;
   readonly leavingEndpoints: () => ReadonlySet<string>;
   readonly clock: Clock;
@@ -152,10 +152,12 @@
     const {name, address} = endpoint;
     const connection: EndpointConnection = {
       endpoint,
-      engine: isModel ? this.options.engines.connect(name, address) : undefined,
+      engine: isModel
+        ? this.options.engineFactory.connect(name, address)
+        : undefined,
       plainService: isModel
         ? undefined
-        : this.options.plainServices.connect(name, address),
+        : this.options.plainServiceFactory.connect(name, address),
       stopReports: new AbortController(),
       reportsLeaving: false,
     };
--- a/packages/router/src/request-locator.ts
+++ b/packages/router/src/request-locator.ts
@@ -14,7 +14,7 @@
 /** Dependencies of the locator. */
 export interface LocatorDependencies {
   readonly requests: RequestService;
-  readonly routers: RouterConnector;
+  readonly routerConnector: RouterConnector;
   /** The other routers in the membership. */
   readonly peers: () => readonly ProcessIdentity[];
   readonly nowSeconds: () => number;
@@ -110,7 +110,7 @@
     answer: Answer,
   ): Promise<AttachResult> {
     const result = await copyAnswer(
-      this.dependencies.routers,
+      this.dependencies.routerConnector,
       peer.controlAddress,
       answer,
     );
--- a/packages/router/src/request-run.ts
+++ b/packages/router/src/request-run.ts
@@ -51,13 +51,13 @@
   async run(): Promise<void> {
     const received = requestState.receive();
     try {
-      const begun = this.context.submission.keyed
+      const beginResult = this.context.submission.keyed
         ? await this.begin(received)
         : await this.queueAndBegin(received);
-      if (begun?.kind === requestState.Phase.Resuming) {
-        await this.dispatchRun.continueAttempt(begun);
-      } else if (begun !== undefined) {
-        await this.dispatchRun.execute(begun);
+      if (beginResult?.kind === requestState.Phase.Resuming) {
+        await this.dispatchRun.continueAttempt(beginResult);
+      } else if (beginResult !== undefined) {
+        await this.dispatchRun.execute(beginResult);
       }
     } catch (error) {
       this.context.dependencies.log.error('request-run-broke', {
@@ -102,7 +102,9 @@
           return undefined;
         }
         holderNamedThisRouter = true;
-        dependencies.holder.abandonUnanswered(this.beginFields(beginning));
+        dependencies.holderClient.abandonUnanswered(
+          this.beginFields(beginning),
+        );
         continue;
       }
       if (await this.copyFromRouter(beginning, verdict)) {
@@ -167,7 +169,7 @@
     beginning: requestState.Beginning,
   ): Promise<BeginAnswer | undefined> {
     try {
-      return await this.context.dependencies.holder.begin(
+      return await this.context.dependencies.holderClient.begin(
         this.beginFields(beginning),
       );
     } catch (error) {
@@ -242,7 +244,7 @@
       this.context.submission.lastEvent >= 0
     ) {
       const {reservation} = reserved;
-      void this.context.dependencies.holder.abandon({
+      void this.context.dependencies.holderClient.abandon({
         ...this.context.submission,
         reservation,
       });
@@ -283,7 +285,7 @@
     for (const peer of dependencies.peers().slice(0, MAXIMUM_PEERS_QUERIED)) {
       const {controlAddress} = peer;
       const result = await copyAnswer(
-        dependencies.routers,
+        dependencies.routerConnector,
         controlAddress,
         answer,
       );
@@ -314,7 +316,7 @@
     this.context.releaseSlot(beginning, WorkOutcome.NotDispatched);
     this.context.recordState(requestState.join(beginning, router.incarnation));
     const result = await copyAnswer(
-      this.context.dependencies.routers,
+      this.context.dependencies.routerConnector,
       router.controlAddress,
       this.context.answer,
     );
--- a/packages/router/src/router-connector.ts
+++ b/packages/router/src/router-connector.ts
@@ -112,7 +112,7 @@
       answer.append(kind.value.data);
       return undefined;
     case 'end':
-      answer.finish({whole: true});
+      answer.finish({complete: true});
       return AttachResult.Ended;
     case 'problem': {
       const problem = parseProblem(kind.value.problemJson);
--- a/packages/router/src/router-state.ts
+++ b/packages/router/src/router-state.ts
@@ -13,7 +13,7 @@
   readonly identity: () => ProcessIdentity;
   readonly draining: () => boolean;
   readonly keepers: KeeperDirectory;
-  readonly holder: HolderClient;
+  readonly holderClient: HolderClient;
   readonly dispatcher: LoadDispatcher;
   readonly endpoints: EndpointDirectory;
   readonly store: AnswerStore;
@@ -43,8 +43,15 @@
   }
 
   override dumpState(maximumItems: number): JsonValue {
-    const {identity, draining, keepers, holder, dispatcher, endpoints, store} =
-      this.sources;
+    const {
+      identity,
+      draining,
+      keepers,
+      holderClient,
+      dispatcher,
+      endpoints,
+      store,
+    } = this.sources;
     const {incarnation, dataCenter} = identity();
     return {
       incarnation,
@@ -57,7 +64,7 @@
         .slice(0, maximumItems),
       queued: dispatcher.queued,
       running: store.running,
-      unsettled: holder.openSettlements,
+      unsettled: holderClient.openSettlements,
       keptBytes: store.bytes,
       endpoints: endpoints
         .summary()
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -41,10 +41,10 @@
 /** Dependencies of a router, supplied by the composition root. */
 export interface RouterDependencies {
   readonly settings: RouterSettings;
-  readonly keepers: KeeperConnector;
-  readonly routers: RouterConnector;
-  readonly engines: ModelEngineFactory;
-  readonly plainServices: PlainServiceFactory;
+  readonly keeperConnector: KeeperConnector;
+  readonly routerConnector: RouterConnector;
+  readonly engineFactory: ModelEngineFactory;
+  readonly plainServiceFactory: PlainServiceFactory;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: EventLog;
@@ -59,7 +59,7 @@
   private draining = false;
   private identity: ProcessIdentity;
   private readonly keepers: KeeperDirectory;
-  private readonly holder: HolderClient;
+  private readonly holderClient: HolderClient;
   private readonly dispatcher: LoadDispatcher;
   private readonly endpoints: EndpointDirectory;
   private readonly store: AnswerStore;
@@ -83,7 +83,7 @@
         identity: () => this.identity,
         dataCenter,
         localKeeper: settings.keeperAddress,
-        connector: dependencies.keepers,
+        connector: dependencies.keeperConnector,
         clock,
         log,
       },
@@ -98,11 +98,11 @@
           this.endpoints.refresh();
         },
         settlementAcknowledged: requestId => {
-          this.holder.settlementAcknowledged(requestId);
+          this.holderClient.settlementAcknowledged(requestId);
         },
       },
     );
-    this.holder = new HolderClient(this.keepers, clock, log);
+    this.holderClient = new HolderClient(this.keepers, clock, log);
     this.dispatcher = new LoadDispatcher(
       new LoadCore({
         dataCenter,
@@ -112,8 +112,8 @@
       clock,
     );
     this.endpoints = new EndpointDirectory({
-      engines: dependencies.engines,
-      plainServices: dependencies.plainServices,
+      engineFactory: dependencies.engineFactory,
+      plainServiceFactory: dependencies.plainServiceFactory,
       dispatcher: this.dispatcher,
       leavingEndpoints: () => this.keepers.leavingEndpoints(),
       clock,
@@ -209,7 +209,7 @@
     return (
       this.store.running > 0 ||
       this.store.readers > 0 ||
-      this.holder.openSettlements > 0
+      this.holderClient.openSettlements > 0
     );
   }
 
@@ -221,7 +221,7 @@
       if (clock.monotonicMilliseconds() >= deadline) {
         log.warn('drain-limit-reached', {
           open: this.store.running,
-          unsettled: this.holder.openSettlements,
+          unsettled: this.holderClient.openSettlements,
         });
         this.callerServer?.destroy();
         return;
@@ -231,11 +231,11 @@
   }
 
   private createRunDependencies(): RunDependencies {
-    const {clock, random, log, metrics, routers} = this.dependencies;
+    const {clock, random, log, metrics, routerConnector} = this.dependencies;
     return {
-      holder: this.holder,
+      holderClient: this.holderClient,
       dispatcher: this.dispatcher,
-      routers,
+      routerConnector,
       clock,
       random,
       log,
@@ -248,12 +248,12 @@
   }
 
   private createRoutes(): CallerRoutes {
-    const {clock, random, routers} = this.dependencies;
+    const {clock, random, routerConnector} = this.dependencies;
     return new CallerRoutes({
       requests: this.requests,
       locator: new RequestLocator({
         requests: this.requests,
-        routers,
+        routerConnector,
         peers: () => this.peers(),
         nowSeconds: () =>
           Math.floor(clock.wallMilliseconds() / MILLISECONDS_PER_SECOND),
@@ -287,7 +287,7 @@
       identity: () => this.identity,
       draining: () => this.draining,
       keepers: this.keepers,
-      holder: this.holder,
+      holderClient: this.holderClient,
       dispatcher: this.dispatcher,
       endpoints: this.endpoints,
       store: this.store,
--- a/packages/router/src/run-context.ts
+++ b/packages/router/src/run-context.ts
@@ -17,9 +17,9 @@
 
 /** Dependencies of the runs of a router. */
 export interface RunDependencies {
-  readonly holder: HolderClient;
+  readonly holderClient: HolderClient;
   readonly dispatcher: LoadDispatcher;
-  readonly routers: RouterConnector;
+  readonly routerConnector: RouterConnector;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: EventLog;
@@ -120,7 +120,10 @@
     this.releaseSlot(from, WorkOutcome.NotDispatched);
     if ('reservation' in from && from.reservation !== undefined) {
       const {reservation} = from;
-      void this.dependencies.holder.abandon({...this.submission, reservation});
+      void this.dependencies.holderClient.abandon({
+        ...this.submission,
+        reservation,
+      });
     }
     this.recordState(requestState.refuse(from));
     this.dependencies.metrics.increment('request.not-run');
--- a/packages/router/src/submission-reader.ts
+++ b/packages/router/src/submission-reader.ts
@@ -221,7 +221,9 @@
     configuration: Configuration,
     name: string,
   ) {
-    const model = configuration.models.find(known => known.name === name);
+    const model = configuration.models.find(
+      configured => configured.name === name,
+    );
     const services = configuration.services.filter(
       service =>
         service.kind === ServiceKind.MODEL && service.models.includes(name),
--- a/packages/router/src/test/bad-input_test.ts
+++ b/packages/router/src/test/bad-input_test.ts
@@ -49,18 +49,18 @@
 function raw(text: string): Promise<string> {
   const [host = '', port] = rig.router.callerAddress.split(':');
   return new Promise(resolve => {
-    let seen = '';
+    let received = '';
     const socket = connect(Number(port), host, () => {
       socket.write(text);
     });
     socket.on('data', (bytes: Buffer) => {
-      seen += bytes.toString();
+      received += bytes.toString();
     });
     socket.on('error', () => {
       // A reset may follow the answer; only the bytes read are checked.
     });
     socket.on('close', () => {
-      resolve(seen);
+      resolve(received);
     });
   });
 }
@@ -181,10 +181,10 @@
   // reports. Billing the bound would charge the budget for unused tokens.
   it('gets its stream cancelled and is billed for generated tokens', async () => {
     rig.engine.scripts.push({pausesAfter: 2});
-    const gone = new AbortController();
-    const response = await chat(rig.url, 'hello', {signal: gone.signal});
+    const disconnect = new AbortController();
+    const response = await chat(rig.url, 'hello', {signal: disconnect.signal});
     expect(response.status).toBe(200);
-    gone.abort();
+    disconnect.abort();
     await waitUntil(() => rig.keeper.receivedOf('settle').length === 1);
     const bill = rig.keeper.receivedOf('settle')[0]?.bill;
     expect(rig.engine.cancelled).toEqual([bill?.attemptId]);
--- a/packages/router/src/test/bound_test.ts
+++ b/packages/router/src/test/bound_test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {expect, it} from 'vitest';
 
-import {charge, completionBound} from '../bound.js';
+import {chargedTokens, completionBound} from '../bound.js';
 
 const model = create(ModelSchema, {name: 'm', minimumBytesPerPromptToken: 2});
 
@@ -36,7 +36,7 @@
       fc.double({min: -10, max: 1e9, noNaN: true}),
       fc.integer({min: 0, max: 1_000_000}),
       (used, bound) => {
-        const charged = charge(used, bound);
+        const charged = chargedTokens(used, bound);
         expect(charged).toBeLessThanOrEqual(bound);
         expect(charged).toBeGreaterThanOrEqual(0);
         expect(Number.isInteger(charged)).toBe(true);
--- a/packages/router/src/test/caller-interface_test.ts
+++ b/packages/router/src/test/caller-interface_test.ts
@@ -24,14 +24,14 @@
 describe('the callers’ interface', () => {
   it('streams a completion with event ids, usage and the end mark', async () => {
     const {url, keeper} = await start();
-    const seen = await readStream(await chat(url, 'hello'));
-    expect(seen.text).toBe('hello-0 hello-1 hello-2 hello-3 hello-4 ');
-    expect(seen.lastId).toBe(6);
-    expect(seen.whole).toBe(true);
-    expect(seen.raw).toContain('"total_tokens":8');
+    const received = await readStream(await chat(url, 'hello'));
+    expect(received.text).toBe('hello-0 hello-1 hello-2 hello-3 hello-4 ');
+    expect(received.lastId).toBe(6);
+    expect(received.complete).toBe(true);
+    expect(received.raw).toContain('"total_tokens":8');
     await waitUntil(() => keeper.receivedOf('settle').length === 1);
     expect(keeper.receivedOf('settle')[0]?.bill).toMatchObject({
-      requestId: seen.requestId,
+      requestId: received.requestId,
       tokens: 8,
       confirmed: true,
     });
@@ -64,14 +64,14 @@
 
   it('returns exactly the events after Last-Event-ID', async () => {
     const {url} = await start();
-    const whole = await readStream(await chat(url, 'hello'));
+    const original = await readStream(await chat(url, 'hello'));
     const rest = await readStream(
-      await fetch(`${url}/v1/requests/${whole.requestId}/events`, {
+      await fetch(`${url}/v1/requests/${original.requestId}/events`, {
         headers: headersOf({lastEvent: 2}),
       }),
     );
-    expect(rest.whole).toBe(true);
-    expect(whole.raw.endsWith(rest.raw)).toBe(true);
+    expect(rest.complete).toBe(true);
+    expect(original.raw.endsWith(rest.raw)).toBe(true);
     expect(rest.text).toBe('hello-3 hello-4 ');
   });
 });
--- a/packages/router/src/test/caller.ts
+++ b/packages/router/src/test/caller.ts
@@ -15,7 +15,7 @@
   readonly text: string;
   readonly lastId: number;
   /** Whether the end mark was received. */
-  readonly whole: boolean;
+  readonly complete: boolean;
   /** The problem document that ended the stream, if any. */
   readonly problem: string | undefined;
   readonly raw: string;
@@ -87,7 +87,7 @@
     requestId: response.headers.get('x-request-id') ?? '',
     text: data.map(([, , chunk]) => contentOf(chunk ?? '{}')).join(''),
     lastId: Number(data.at(-1)?.[1] ?? -1),
-    whole: raw.endsWith('data: [DONE]\n\n'),
+    complete: raw.endsWith('data: [DONE]\n\n'),
     problem: /^event: error\ndata: (.*)$/m.exec(raw)?.[1],
     raw,
   };
--- a/packages/router/src/test/drain_test.ts
+++ b/packages/router/src/test/drain_test.ts
@@ -15,9 +15,9 @@
   const open = await Promise.all(
     scripts.map((_, index) => chat(rig.url, `prompt${index}`)),
   );
-  let left = false;
+  let isClosed = false;
   const closing = rig.router.close().then(() => {
-    left = true;
+    isClosed = true;
   });
   expect((await fetch(`${rig.url}/ready`)).status).toBe(503);
   const late = await chat(rig.url, 'late');
@@ -26,12 +26,12 @@
   const keyed = await requestCertificate(rig.url, '{}', {key: 'c'});
   expect(keyed.headers.get('x-outcome')).toBe('not-run');
   expect(rig.service.calls).toEqual([]);
-  expect(left).toBe(false);
+  expect(isClosed).toBe(false);
 
   rig.engine.release();
-  const seen = await Promise.all(open.map(readStream));
-  expect(seen.filter(({whole}) => whole)).toHaveLength(STREAMS);
-  expect(new Set(seen.map(({text}) => text)).size).toBe(STREAMS);
+  const received = await Promise.all(open.map(readStream));
+  expect(received.filter(({complete}) => complete)).toHaveLength(STREAMS);
+  expect(new Set(received.map(({text}) => text)).size).toBe(STREAMS);
   await closing;
   const kinds = rig.keeper.received.map(({kind}) => kind.case);
   expect(kinds.filter(kind => kind === 'settle')).toHaveLength(STREAMS);
@@ -52,7 +52,7 @@
   expect(refused.status).toBe(503);
   expect(refused.headers.get('x-outcome')).toBe('not-run');
   rig.engine.release();
-  expect((await readStream(open)).whole).toBe(true);
+  expect((await readStream(open)).complete).toBe(true);
   expect(rig.engine.starts).toBe(1);
   await rig.router.close();
 });
--- a/packages/router/src/test/endpoint-faults_test.ts
+++ b/packages/router/src/test/endpoint-faults_test.ts
@@ -32,7 +32,7 @@
   await rig.router.close();
 });
 
-const WHOLE = 'hello-0 hello-1 hello-2 hello-3 hello-4 ';
+const COMPLETE_TEXT = 'hello-0 hello-1 hello-2 hello-3 hello-4 ';
 
 describe('engine faults', () => {
   // The engine returns the stream of another attempt, mixed up on a reused
@@ -40,8 +40,8 @@
   // the caller's own attempt is read from its start.
   it('drops the stream of another attempt', async () => {
     await startWith([{otherAttemptId: 'req_other.1'}]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
-    expect(seen).toMatchObject({text: WHOLE, whole: true});
+    const received = await readStream(await chat(rig.url, 'hello'));
+    expect(received).toMatchObject({text: COMPLETE_TEXT, complete: true});
   });
 
   // The connection stalls after two events, and a resume reads the rest. Events
@@ -49,30 +49,38 @@
   // answer, nor to any other one.
   it('discards events that arrive late, after a resume', async () => {
     await startWith([{pausesAfter: 2}]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
+    const received = await readStream(await chat(rig.url, 'hello'));
     rig.engine.release();
-    expect(seen).toMatchObject({text: WHOLE, whole: true, lastId: 6});
+    expect(received).toMatchObject({
+      text: COMPLETE_TEXT,
+      complete: true,
+      lastId: 6,
+    });
     const kept = await fetch(
-      `${rig.url}/v1/requests/${seen.requestId}/events`,
+      `${rig.url}/v1/requests/${received.requestId}/events`,
       {headers: headersOf({})},
     );
-    expect((await readStream(kept)).raw).toBe(seen.raw);
+    expect((await readStream(kept)).raw).toBe(received.raw);
   });
 
   // An event is missing. The events after it must not be forwarded as if they
   // were contiguous: the stream is read again from the gap.
   it('reads a stream with a missing event again from the gap', async () => {
-    await startWith([{skips: 2}]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
-    expect(seen).toMatchObject({text: WHOLE, whole: true});
+    await startWith([{skippedEvent: 2}]);
+    const received = await readStream(await chat(rig.url, 'hello'));
+    expect(received).toMatchObject({text: COMPLETE_TEXT, complete: true});
   });
 
   // The connection closes without an error before the end of the answer. A resume
   // reads the rest, without a gap or a repeated event.
   it('resumes a truncated stream and delivers it completely', async () => {
     await startWith([{truncatedAfter: 2}, {breaksAfter: 4}]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
-    expect(seen).toMatchObject({text: WHOLE, whole: true, lastId: 6});
+    const received = await readStream(await chat(rig.url, 'hello'));
+    expect(received).toMatchObject({
+      text: COMPLETE_TEXT,
+      complete: true,
+      lastId: 6,
+    });
     expect(rig.engine.starts).toBe(1);
   });
 
@@ -85,10 +93,10 @@
       {truncatedAfter: 2},
       {truncatedAfter: 2},
     ]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
-    expect(seen.whole).toBe(false);
-    expect(seen.problem).toContain('failed-after-running');
-    expect(seen.text).toBe('hello-0 hello-1 ');
+    const received = await readStream(await chat(rig.url, 'hello'));
+    expect(received.complete).toBe(false);
+    expect(received.problem).toContain('failed-after-running');
+    expect(received.text).toBe('hello-0 hello-1 ');
     await waitUntil(() => rig.keeper.receivedOf('settle').length === 1);
     expect(rig.keeper.receivedOf('settle')[0]?.bill).toMatchObject({
       tokens: 5,
@@ -102,10 +110,10 @@
   // again and is billed once.
   it('reruns a completion with an unknown outcome and bills it once', async () => {
     const refused = {fails: Fate.NotDone};
-    const lost = {fails: Fate.Unknown, forgets: true};
+    const lost = {fails: Fate.Unknown, ignoresAttempt: true};
     await startWith([lost, refused, refused, refused]);
-    const seen = await readStream(await chat(rig.url, 'hello'));
-    expect(seen).toMatchObject({text: WHOLE, whole: true});
+    const received = await readStream(await chat(rig.url, 'hello'));
+    expect(received).toMatchObject({text: COMPLETE_TEXT, complete: true});
     await waitUntil(() => rig.keeper.receivedOf('settle').length === 1);
     expect(rig.keeper.receivedOf('settle')[0]?.bill?.tokens).toBe(8);
   });
@@ -114,7 +122,7 @@
   // the first run and in the rerun. The attempt may still arrive and run, so the
   // outcome is reported as unknown, and the bound is charged as unconfirmed.
   it('reports the outcome as unknown if the rerun is lost too', async () => {
-    const lost = {fails: Fate.Unknown, forgets: true};
+    const lost = {fails: Fate.Unknown, ignoresAttempt: true};
     const refused = {fails: Fate.NotDone};
     const attempt = [lost, refused, refused, refused];
     await startWith([...attempt, ...attempt]);
--- a/packages/router/src/test/fake-engine.ts
+++ b/packages/router/src/test/fake-engine.ts
@@ -25,9 +25,9 @@
   /** Identifier of another attempt whose stream is returned. */
   readonly otherAttemptId?: string;
   /** Index of an event to leave out. */
-  readonly skips?: number;
+  readonly skippedEvent?: number;
   /** The engine does not record the attempt. */
-  readonly forgets?: boolean;
+  readonly ignoresAttempt?: boolean;
 }
 
 interface FakeAttempt {
@@ -88,7 +88,7 @@
     if (script.fails === Fate.NotDone) {
       return Promise.reject(this.failure(Fate.NotDone));
     }
-    if (script.forgets !== true) {
+    if (script.ignoresAttempt !== true) {
       this.attempts.set(request.attemptId, {
         request,
         words: FakeEngine.wordsOf(request, this.words),
@@ -201,7 +201,7 @@
       }
       const text =
         script.otherAttemptId === undefined ? words[index] : `stolen-${index} `;
-      if (index === script.skips) {
+      if (index === script.skippedEvent) {
         continue;
       }
       if (text !== undefined && attempt !== undefined) {
--- a/packages/router/src/test/golden-sessions_test.ts
+++ b/packages/router/src/test/golden-sessions_test.ts
@@ -108,9 +108,9 @@
 
 it('streams a completion', async () => {
   const rig = await start();
-  const seen = await transcript('stream', await chat(rig.url, 'hello'));
+  const received = await transcript('stream', await chat(rig.url, 'hello'));
   await waitForSettlements(rig);
-  await expectGolden('stream', [seen, formatReceived(rig)]);
+  await expectGolden('stream', [received, formatReceived(rig)]);
 });
 
 it('joins a retry to a running request', async () => {
@@ -128,13 +128,16 @@
 
 it('resumes a truncated stream and a read with Last-Event-ID', async () => {
   const rig = await start([{truncatedAfter: 2}]);
-  const whole = await transcript('first', await chat(rig.url, 'hello', KEYED));
+  const original = await transcript(
+    'first',
+    await chat(rig.url, 'hello', KEYED),
+  );
   const rest = await transcript(
     'again with Last-Event-ID: 2',
     await chat(rig.url, 'hello', {...KEYED, lastEvent: 2}),
   );
   await waitForSettlements(rig);
-  await expectGolden('resume', [whole, rest, formatReceived(rig)]);
+  await expectGolden('resume', [original, rest, formatReceived(rig)]);
 });
 
 it('refuses a request that exceeds the budget', async () => {
--- a/packages/router/src/test/keeper-directory_test.ts
+++ b/packages/router/src/test/keeper-directory_test.ts
@@ -31,8 +31,8 @@
   }
 }
 
-const one = 'host-1/keeper/fake';
-const two = 'host-2/keeper/fake';
+const FIRST_KEEPER = 'host-1/keeper/fake';
+const SECOND_KEEPER = 'host-2/keeper/fake';
 const begin: BeginFields = {
   requestId: 'req_1',
   organisation: 'hotel-school',
@@ -49,7 +49,12 @@
 const reserved = {
   requestId: 'req_1',
   organisation: 'hotel-school',
-  reservation: {grantId: 'grant-1', holder: one, witness: two, beginSentAt: 0},
+  reservation: {
+    grantId: 'grant-1',
+    holder: FIRST_KEEPER,
+    witness: SECOND_KEEPER,
+    beginSentAt: 0,
+  },
 };
 
 let directory: KeeperDirectory;
@@ -57,8 +62,8 @@
 function start(firstVersion = 1, secondVersion = 1) {
   const configuration = testConfiguration();
   const keepers = {
-    'a:1': new FakeKeeper(configuration, undefined, one),
-    'b:2': new FakeKeeper(configuration, undefined, two),
+    'a:1': new FakeKeeper(configuration, undefined, FIRST_KEEPER),
+    'b:2': new FakeKeeper(configuration, undefined, SECOND_KEEPER),
   };
   keepers['a:1'].version = firstVersion;
   keepers['b:2'].version = secondVersion;
@@ -66,7 +71,7 @@
     keepers: [
       {
         identity: {
-          incarnation: two,
+          incarnation: SECOND_KEEPER,
           dataCenter: 'kigali-1',
           controlAddress: 'b:2',
         },
@@ -126,9 +131,9 @@
     verdict: BeginVerdict.NOT_HOLDER,
     holder: other,
   });
-  first.verdict = name(two);
+  first.verdict = name(SECOND_KEEPER);
   expect((await holder.begin(begin)).holder).not.toBe('');
-  second.verdict = name(one);
+  second.verdict = name(FIRST_KEEPER);
   first.received.length = 0;
   second.received.length = 0;
   await expect(holder.begin(begin)).rejects.toThrow();
@@ -192,15 +197,15 @@
   first.verdict = () => undefined;
   second.verdict = () => undefined;
   await expect(holder.begin(begin)).rejects.toThrow('begin at the holder');
-  const heard = <Case extends 'begin' | 'abandon'>(kind: Case) => [
+  const receivedByBoth = <Case extends 'begin' | 'abandon'>(kind: Case) => [
     ...first.receivedOf(kind),
     ...second.receivedOf(kind),
   ];
-  await waitUntil(() => heard('abandon').length === 4);
-  const numbers = heard('begin')
+  await waitUntil(() => receivedByBoth('abandon').length === 4);
+  const numbers = receivedByBoth('begin')
     .map(({beginNumber}) => beginNumber)
     .sort((a, b) => a - b);
-  const abandoned = heard('abandon')
+  const abandoned = receivedByBoth('abandon')
     .map(({lostBegins}) => lostBegins)
     .sort((a, b) => a.length - b.length);
   expect(abandoned).toEqual(
--- a/packages/router/src/test/retries_test.ts
+++ b/packages/router/src/test/retries_test.ts
@@ -41,7 +41,7 @@
   await second.router.close();
 });
 
-const WHOLE = 'hello-0 hello-1 hello-2 hello-3 hello-4 ';
+const COMPLETE_TEXT = 'hello-0 hello-1 hello-2 hello-3 hello-4 ';
 
 describe('a retry at another host', () => {
   // The caller's connection breaks while its stream runs at the first host, and
@@ -57,7 +57,7 @@
       await readStream(original),
       await readStream(await retry),
     ];
-    expect(one).toMatchObject({text: WHOLE, whole: true});
+    expect(one).toMatchObject({text: COMPLETE_TEXT, complete: true});
     expect(other.raw).toBe(one.raw);
     expect(first.engine.starts).toBe(1);
     await waitUntil(() => keeper.receivedOf('settle').length > 0);
@@ -86,7 +86,7 @@
     );
     expect(rest).toMatchObject({
       text: 'hello-2 hello-3 hello-4 ',
-      whole: true,
+      complete: true,
       lastId: 6,
     });
     expect(first.engine.starts).toBe(1);
@@ -99,8 +99,10 @@
       verdict: BeginVerdict.RESUME,
       resume: {attemptId: 'req_x.1', endpoint: ''},
     });
-    const seen = await readStream(await chat(second.url, 'hello', {key: 'k'}));
-    expect(seen).toMatchObject({text: WHOLE, whole: true});
+    const received = await readStream(
+      await chat(second.url, 'hello', {key: 'k'}),
+    );
+    expect(received).toMatchObject({text: COMPLETE_TEXT, complete: true});
   });
 
   // A holder failed after granting a claim and before the router received the
@@ -129,7 +131,10 @@
     const rest = await readStream(
       await chat(second.url, 'hello', {key: 'k', lastEvent: 1}),
     );
-    expect(rest).toMatchObject({text: 'hello-2 hello-3 hello-4 ', whole: true});
+    expect(rest).toMatchObject({
+      text: 'hello-2 hello-3 hello-4 ',
+      complete: true,
+    });
     expect(original.raw.endsWith(rest.raw)).toBe(true);
     expect(keeper.receivedOf('abandon')).toHaveLength(1);
   });
@@ -138,10 +143,10 @@
   // new run can differ, so its events must not follow those of the earlier run.
   it('never gets events of two runs in one answer', async () => {
     keeper.markRouterLost(keeper.incarnationOf('host-1'));
-    const seen = await readStream(
+    const received = await readStream(
       await chat(second.url, 'hello', {key: 'lost', lastEvent: 1}),
     );
-    expect(seen).toMatchObject({whole: false, status: 502});
+    expect(received).toMatchObject({complete: false, status: 502});
     expect(first.engine.starts).toBe(0);
   });
 
@@ -166,8 +171,10 @@
       keeper.receivedOf('abandon').length === 0
         ? {verdict: BeginVerdict.JOIN, router: router ?? {}}
         : verdict(begin, router);
-    const seen = await readStream(await chat(first.url, 'hello', {key: 'k'}));
-    expect(seen).toMatchObject({text: WHOLE, whole: true});
+    const received = await readStream(
+      await chat(first.url, 'hello', {key: 'k'}),
+    );
+    expect(received).toMatchObject({text: COMPLETE_TEXT, complete: true});
   });
 
   // The request ran in another data centre, and this one knows only its bill. The
@@ -179,8 +186,8 @@
     keeper.verdict = () => ({verdict: BeginVerdict.ANSWER_GONE});
     const retry = await readStream(await chat(second.url, 'hello', {key: 'k'}));
     expect(retry.raw).toBe(original.raw);
-    const gone = await chat(second.url, 'hello', {key: 'other'});
-    expect(gone.status).toBe(410);
+    const missing = await chat(second.url, 'hello', {key: 'other'});
+    expect(missing.status).toBe(410);
   });
 
   it('with different content is refused at both hosts', async () => {
@@ -218,7 +225,7 @@
         headers: headersOf({lastEvent: 3}),
       }),
     );
-    expect(rest).toMatchObject({text: 'hello-4 ', whole: true});
+    expect(rest).toMatchObject({text: 'hello-4 ', complete: true});
   });
 });
 
@@ -266,6 +273,6 @@
     const early = await chat(first.url, 'hello', {key: 'k'});
     expect(early.headers.get('x-outcome')).toBe('not-run');
     const later = await readStream(await chat(first.url, 'hello', {key: 'k'}));
-    expect(later).toMatchObject({text: WHOLE, whole: true});
+    expect(later).toMatchObject({text: COMPLETE_TEXT, complete: true});
   });
 });
--- a/packages/router/src/test/router-rig.ts
+++ b/packages/router/src/test/router-rig.ts
@@ -179,12 +179,12 @@
       },
       keeperAddress: '127.0.0.1:9',
     }),
-    keepers: keeper,
-    routers: new ConnectRouterConnector(),
-    engines:
+    keeperConnector: keeper,
+    routerConnector: new ConnectRouterConnector(),
+    engineFactory:
       options.engineFactory ??
       new FakeEngineFactory({'engine-1': engine, ...options.engines}),
-    plainServices: new FakePlainServiceFactory(service),
+    plainServiceFactory: new FakePlainServiceFactory(service),
     clock: options.clock ?? new SystemClock(),
     random: options.random ?? new SystemRandomSource(),
     log: EventLog.create(LogLevel.DEBUG, {process: 'router'}, line => {
