--- a/packages/router/src/answer-writer.ts
+++ b/packages/router/src/answer-writer.ts
@@ -2,7 +2,7 @@
 import type {ServerResponse} from 'node:http';
 
 import type {Answer} from './answer.js';
-import {wholeCompletion} from './completion-chunks.js';
+import {createCompletion} from './completion-chunks.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
 
 const REQUEST_HEADER = 'X-Request-Id';
@@ -106,7 +106,7 @@
 }
 
 /** Waits for the end of the answer and writes it as one body. */
-async function writeWhole(
+async function writeCompleteAnswer(
   answer: Answer,
   response: ServerResponse,
   signal: AbortSignal,
@@ -138,10 +138,10 @@
   model: string,
   signal: AbortSignal,
 ): Promise<void> {
-  return writeWhole(answer, response, signal, () => ({
+  return writeCompleteAnswer(answer, response, signal, () => ({
     contentType: 'application/json',
     status: 200,
-    bytes: Buffer.from(JSON.stringify(wholeCompletion(answer, model))),
+    bytes: Buffer.from(JSON.stringify(createCompletion(answer, model))),
   }));
 }
 
@@ -151,7 +151,7 @@
   response: ServerResponse,
   signal: AbortSignal,
 ): Promise<void> {
-  return writeWhole(answer, response, signal, () => ({
+  return writeCompleteAnswer(answer, response, signal, () => ({
     contentType: answer.head?.contentType ?? 'application/octet-stream',
     status: answer.head?.status ?? 200,
     bytes: Buffer.concat(answer.events.map(({data}) => data)),
--- a/packages/router/src/answer.ts
+++ b/packages/router/src/answer.ts
@@ -52,7 +52,7 @@
 
   constructor(readonly options: AnswerOptions) {}
 
-  /** Aborted when the answer has had no reader for the reconnect grace time. */
+  /** Aborted if the answer has no reader when the reconnect grace time ends. */
   get abandoned(): AbortSignal {
     return this.abandonment.signal;
   }
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Yields the events after `lastSeen` until the answer ends or `signal` aborts. */
+  /** Yields the events after `lastEvent` until the answer ends or `signal` aborts. */
   async *read(
     lastEvent: number,
     signal?: AbortSignal,
--- a/packages/router/src/chat-request.ts
+++ b/packages/router/src/chat-request.ts
@@ -67,7 +67,8 @@
 }
 
 /**
- * Parses the body of a chat completion. Unknown members are ignored.
+ * Parses the body of a chat completion. Members that the system does
+ * not use are ignored.
  *
  * @throws Problem `malformed-request` if the body is not valid.
  * @example
--- a/packages/router/src/completion-chunks.ts
+++ b/packages/router/src/completion-chunks.ts
@@ -62,7 +62,7 @@
  *
  * @param answer An answer that ended without a problem.
  */
-export function wholeCompletion(answer: Answer, model: string): object {
+export function createCompletion(answer: Answer, model: string): object {
   let content = '';
   let finishReason: string | null = null;
   let usage: unknown;
--- a/packages/router/src/dispatch-run.ts
+++ b/packages/router/src/dispatch-run.ts
@@ -88,7 +88,7 @@
         peer: error.peer,
         reason: error.reason,
       });
-      this.context.avoid(endpoint);
+      this.context.releaseAndAvoid(endpoint);
       return this.context.recordState(requestState.undoDispatch(dispatching));
     }
   }
@@ -109,7 +109,7 @@
 
   /**
    * Ends the request, or reruns it after an attempt with an unknown outcome: its
-   * engine is gone, or its router died before it reported the endpoint. An
+   * engine was lost, or its router was lost before it reported the endpoint. An
    * idempotent request whose caller has received no event is run once more at
    * another endpoint, with the same reservation and a single bill. A late answer
    * of the first attempt has no open connection and is never delivered. Any other
@@ -129,7 +129,7 @@
       this.finish(from, result);
       return;
     }
-    this.context.avoid(from.attempt.endpoint);
+    this.context.releaseAndAvoid(from.attempt.endpoint);
     const placement = await this.context.requestPlacement();
     if (placement.err) {
       this.finish(from, result);
--- a/packages/router/src/dispatched-calls.ts
+++ b/packages/router/src/dispatched-calls.ts
@@ -26,7 +26,7 @@
   }
 
   /** Returns true only if this router certainly never dispatched the call. */
-  isNeverDispatched(requestId: string): boolean {
+  wasNeverDispatched(requestId: string): boolean {
     return !this.hasEvicted && !this.requestIds.has(requestId);
   }
 }
--- a/packages/router/src/keeper-directory.ts
+++ b/packages/router/src/keeper-directory.ts
@@ -54,7 +54,7 @@
     return this.inForce;
   }
 
-  /** The local keeper's membership, or else one from another keeper. */
+  /** The latest membership of the local keeper, or else of another keeper. */
   get membership(): Membership | undefined {
     const local = this.sessions.get(this.options.localKeeper);
     const own = local === undefined ? undefined : this.memberships.get(local);
--- a/packages/router/src/request-body.ts
+++ b/packages/router/src/request-body.ts
@@ -5,7 +5,7 @@
 /** Limits of a request body. */
 export interface BodyLimits {
   readonly maximumBytes: number;
-  /** Time within which the complete body must be received. */
+  /** Milliseconds within which the complete body must be received. */
   readonly timeoutMilliseconds: number;
 }
 
--- a/packages/router/src/request-run.ts
+++ b/packages/router/src/request-run.ts
@@ -19,8 +19,9 @@
 } from './verdicts.js';
 
 /**
- * If a joined router is lost, the request sends its begin again after this
- * delay, because the holder needs time to detect the loss.
+ * Maximum number of begins whose verdict is a join. If the joined router is lost,
+ * the request sends its begin again after a delay, because the holder needs time
+ * to detect the loss.
  */
 const MAXIMUM_JOINS = 5;
 const REJOIN_DELAY_MILLISECONDS = 300;
@@ -144,7 +145,7 @@
     const {submission, dependencies} = this.context;
     return (
       !submission.idempotent &&
-      dependencies.dispatchedCalls.isNeverDispatched(submission.requestId)
+      dependencies.dispatchedCalls.wasNeverDispatched(submission.requestId)
     );
   }
 
@@ -231,7 +232,7 @@
    * Checks that a new run may use the reservation. The text of a new run can
    * differ, so a caller that has read part of an earlier answer would get a mix
    * of two answers that looks complete. In that case the reservation is released
-   * and the earlier answer is searched at the other routers: it may be kept in
+   * and the earlier answer is looked up at the other routers: it may be kept in
    * another data centre, which this holder does not cover. If none has it, the
    * request fails and the caller can request the complete answer again.
    */
--- a/packages/router/src/request-state.ts
+++ b/packages/router/src/request-state.ts
@@ -157,7 +157,7 @@
       };
 }
 
-/** Sends a begin to the holder. */
+/** Records that a begin is sent to the holder. */
 export function begin(from: Received | Placed): Beginning {
   return {
     kind: Phase.Beginning,
@@ -174,7 +174,7 @@
   };
 }
 
-/** Starts dispatch. Only `undoDispatch` leads back to a state before dispatch. */
+/** Starts the dispatch. Only `undoDispatch` leads back to a state before it. */
 export function dispatch(from: Reserved, attempt: Attempt): Dispatching {
   return {
     kind: Phase.Dispatching,
@@ -196,7 +196,7 @@
   };
 }
 
-/** Resumes the attempt of a lost router. */
+/** Starts to resume the attempt of a lost router. */
 export function resume(
   from: Beginning,
   reservation: Reservation,
@@ -211,9 +211,9 @@
 }
 
 /**
- * Runs an idempotent request at another endpoint after an attempt with an unknown
- * outcome. The state remains after dispatch, because the first attempt may have
- * run.
+ * Starts the rerun of an idempotent request at another endpoint, after an attempt
+ * with an unknown outcome. The result is a state after dispatch, because the
+ * first attempt may have run.
  */
 export function rerun(
   from: Dispatching | Resuming,
--- a/packages/router/src/router-limits.ts
+++ b/packages/router/src/router-limits.ts
@@ -5,7 +5,7 @@
   /** Maximum bytes of ended answers kept for retries. */
   readonly keptAnswerBytes: number;
   readonly maximumQueuedRequests: number;
-  /** Maximum duration of the drain in a graceful shutdown. */
+  /** Maximum duration of the drain in a graceful shutdown, in milliseconds. */
   readonly drainLimitMilliseconds: number;
 }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -134,7 +134,7 @@
    *
    * @example
    * ```ts
-   * const router = await Router.start(parts);
+   * const router = await Router.start(dependencies);
    * await router.close();
    * ```
    */
--- a/packages/router/src/run-context.ts
+++ b/packages/router/src/run-context.ts
@@ -53,13 +53,13 @@
 
   /** Waits until the request is placed at an endpoint, refused or withdrawn. */
   requestPlacement(): Promise<PlacementResult> {
-    const releaseAndAvoid =
+    const avoided =
       this.avoidEndpoint === undefined
         ? {}
         : {avoidEndpoint: this.avoidEndpoint};
     const isRetry = this.avoidEndpoint !== undefined;
     return this.dependencies.dispatcher.place(
-      {...this.submission, isRetry, ...releaseAndAvoid},
+      {...this.submission, isRetry, ...avoided},
       this.answer.abandoned,
     );
   }
@@ -78,7 +78,7 @@
   }
 
   /** Releases a failed endpoint and avoids it in the next placement. */
-  avoid(endpoint: string): void {
+  releaseAndAvoid(endpoint: string): void {
     this.release(endpoint, WorkOutcome.Failed);
     this.avoidEndpoint = endpoint;
   }
--- a/packages/router/src/test/dispatched-calls_test.ts
+++ b/packages/router/src/test/dispatched-calls_test.ts
@@ -7,16 +7,16 @@
 // eviction, no call may be reported as never dispatched.
 it('reports no call as never dispatched after an eviction', () => {
   const calls = new DispatchedCalls(2);
-  expect(calls.isNeverDispatched('a')).toBe(true);
+  expect(calls.wasNeverDispatched('a')).toBe(true);
   calls.add('a');
   calls.add('b');
-  expect([calls.isNeverDispatched('a'), calls.isNeverDispatched('x')]).toEqual([
-    false,
-    true,
-  ]);
+  expect([
+    calls.wasNeverDispatched('a'),
+    calls.wasNeverDispatched('x'),
+  ]).toEqual([false, true]);
   calls.add('c');
-  expect([calls.isNeverDispatched('a'), calls.isNeverDispatched('x')]).toEqual([
-    false,
-    false,
-  ]);
+  expect([
+    calls.wasNeverDispatched('a'),
+    calls.wasNeverDispatched('x'),
+  ]).toEqual([false, false]);
 });
