--- a/packages/router/src/credentials.ts
+++ b/packages/router/src/credentials.ts
@@ -7,26 +7,26 @@
   readonly caller: string;
 }
 
-interface KnownCredential {
+interface ConfiguredCredential {
   readonly digest: Buffer;
   readonly caller: AuthenticatedCaller;
 }
 
-const SCHEME = /^Bearer ([\x21-\x7e]+)$/i;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]+)$/i;
 const DIGEST_BYTES = 32;
 
 /**
  * The credentials of one configuration.
  *
- * The secret is hashed first, and every known digest is compared in constant
- * time without stopping at the first match: the time taken tells nothing of how
- * much of a guess was right, nor which organisation it belongs to.
+ * The secret is hashed first, and every known digest is compared in constant time
+ * without stopping at the first match, so response times reveal neither how much
+ * of a guess was correct nor which organisation a credential belongs to.
  */
 export class Credentials {
-  private readonly known: readonly KnownCredential[];
+  private readonly credentials: readonly ConfiguredCredential[];
 
   constructor(configuration: Configuration) {
-    this.known = configuration.organisations.flatMap(organisation =>
+    this.credentials = configuration.organisations.flatMap(organisation =>
       organisation.callers
         .map(caller => ({
           digest: Buffer.from(caller.credentialSha256, 'hex'),
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Finds the caller of an `Authorization` header.
+   * Finds the caller of an `Authorization` header; undefined if there is none.
    *
    * @example
    * ```ts
@@ -45,13 +45,13 @@
    * ```
    */
   authenticate(header: string | undefined): AuthenticatedCaller | undefined {
-    const secret = SCHEME.exec(header ?? '')?.[1];
+    const secret = BEARER_PATTERN.exec(header ?? '')?.[1];
     if (secret === undefined) {
       return undefined;
     }
     const digest = createHash('sha256').update(secret).digest();
     let found: AuthenticatedCaller | undefined;
-    for (const candidate of this.known) {
+    for (const candidate of this.credentials) {
       if (timingSafeEqual(candidate.digest, digest)) {
         found = candidate.caller;
       }
--- a/packages/router/src/router-state.ts
+++ b/packages/router/src/router-state.ts
@@ -8,12 +8,12 @@
 import type {KeeperDirectory} from './keeper-directory.js';
 import type {LoadDispatcher} from './load-dispatcher.js';
 
-/** What is told about. */
+/** The components whose state is reported. */
 export interface StateSources {
   readonly identity: () => ProcessIdentity;
   readonly draining: () => boolean;
   readonly keepers: KeeperDirectory;
-  readonly holder: HolderClient;
+  readonly holderClient: HolderClient;
   readonly dispatcher: LoadDispatcher;
   readonly endpoints: EndpointDirectory;
   readonly store: AnswerStore;
@@ -36,15 +36,22 @@
   };
 }
 
-/** The router's answers to an operator's questions; no prompt or answer. */
+/** Serves the inspection queries of operators; omits prompts and answer text. */
 export class RouterState extends Inspectable {
   constructor(private readonly sources: StateSources) {
     super();
   }
 
   override dumpState(maximumItems: number): JsonValue {
-    const {identity, draining, keepers, holder, dispatcher, endpoints, store} =
-      this.sources;
+    const {
+      identity,
+      draining,
+      keepers,
+      holderClient,
+      dispatcher,
+      endpoints,
+      store,
+    } = this.sources;
     const {incarnation, dataCenter} = identity();
     return {
       incarnation,
@@ -57,7 +64,7 @@
         .slice(0, maximumItems),
       queued: dispatcher.queued,
       running: store.running,
-      unsettled: holder.openSettlements,
+      unsettled: holderClient.openSettlements,
       keptBytes: store.bytes,
       endpoints: endpoints
         .summary()
