--- a/packages/command-line/src/commands/budget-explain.ts
+++ b/packages/command-line/src/commands/budget-explain.ts
@@ -6,9 +6,13 @@
 
 import {CommandError} from '../command-error.js';
 import type {Connections} from '../connections.js';
-import {fleetProcesses, survey, type SurveyAnswer} from '../fleet-survey.js';
+import {
+  listFleetProcesses,
+  queryProcesses,
+  type ProcessAnswer,
+} from '../fleet-processes.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
-import {readable, table} from '../readable.js';
+import {formatValue, formatTable} from '../text-format.js';
 
 /** The budget as the log tells it. */
 interface LedgerView {
@@ -27,7 +31,7 @@
   readonly closed: boolean;
 }
 
-function viewOf(fold: LedgerFold, organisation: string): LedgerView {
+function toLedgerView(fold: LedgerFold, organisation: string): LedgerView {
   return {
     ...fold.totals(organisation),
     grants: fold
@@ -51,7 +55,7 @@
   const stream = ledgerStreamOf(organisation, settings.ledgerStreams);
   try {
     const fold = await ledgerReader(log, stream).readToEnd();
-    return viewOf(fold, organisation);
+    return toLedgerView(fold, organisation);
   } catch (error) {
     if (error instanceof StepError) {
       return undefined;
@@ -62,13 +66,13 @@
 
 function describeLedger(organisation: string, ledger: LedgerView): string {
   const {creditedTokens, billedTokens, unallocatedTokens, grants} = ledger;
-  const left = creditedTokens - billedTokens;
-  const granted = left - unallocatedTokens;
+  const remainingTokens = creditedTokens - billedTokens;
+  const grantedTokens = remainingTokens - unallocatedTokens;
   return [
-    `${organisation}: ${creditedTokens} credited = ${billedTokens} billed + ${unallocatedTokens} not granted yet + ${granted} in grants.`,
-    `A request is refused (402) where its bound, the prompt's bytes and max_tokens, is above what can be brought together: at most ${left} tokens now.`,
+    `${organisation}: ${creditedTokens} credited = ${billedTokens} billed + ${unallocatedTokens} not granted yet + ${grantedTokens} in grants.`,
+    `A request is refused (402) where its bound, the prompt's bytes and max_tokens, is above what can be brought together: at most ${remainingTokens} tokens now.`,
     `To add to it: wisteriadeal top-up ${organisation} TOKENS --id INVOICE`,
-    table(
+    formatTable(
       ['grant', 'data centre', 'holder', 'witness', 'left'],
       grants.map(grant => [
         grant.grantId,
@@ -82,11 +86,13 @@
 }
 
 /** What holders have that the log does not show: reservations in progress. */
-function describeHeld(answers: readonly SurveyAnswer[]): string {
+function describeHeldGrants(answers: readonly ProcessAnswer[]): string {
   return answers
     .flatMap(({host, answer}) => {
       const held = (answer as {heldHere?: readonly unknown[]}).heldHere ?? [];
-      return held.length === 0 ? [] : [`\nHeld by ${host}:\n${readable(held)}`];
+      return held.length === 0
+        ? []
+        : [`\nHeld by ${host}:\n${formatValue(held)}`];
     })
     .join('\n');
 }
@@ -111,18 +117,23 @@
     const {args, flags} = await this.parse(BudgetExplain);
     const {organisation} = args;
     return this.withConnections(flags.settings, async connections => {
-      const ledger = await this.showing(
+      const ledger = await this.withProgress(
         'Reading the ledger',
         readLedger(connections, organisation),
       );
-      const answers = await this.showing(
+      const answers = await this.withProgress(
         'Asking the fleet',
-        survey(await fleetProcesses(connections), client =>
+        queryProcesses(await listFleetProcesses(connections), client =>
           client.explainBudget(organisation),
         ),
       );
-      const known = answers.filter(({answer}) => answer !== undefined);
-      if ((ledger?.creditedTokens ?? 0) === 0 && known.length === 0) {
+      const processesWithState = answers.filter(
+        ({answer}) => answer !== undefined,
+      );
+      if (
+        (ledger?.creditedTokens ?? 0) === 0 &&
+        processesWithState.length === 0
+      ) {
         throw new CommandError(
           ExitCode.NotFound,
           `Nothing is known of the organisation ${organisation}`,
@@ -131,12 +142,12 @@
       }
       if (ledger === undefined) {
         this.log('The log can not be read now; this is what processes know.');
-        for (const {host, process, answer} of known) {
-          this.log(`\n${host} ${process}:\n${readable(answer)}`);
+        for (const {host, process, answer} of processesWithState) {
+          this.log(`\n${host} ${process}:\n${formatValue(answer)}`);
         }
       } else {
         this.log(describeLedger(organisation, ledger));
-        this.log(describeHeld(known));
+        this.log(describeHeldGrants(processesWithState));
       }
       for (const {host, process, failure} of answers) {
         if (failure !== undefined) {
--- a/packages/command-line/src/commands/budget-release.ts
+++ b/packages/command-line/src/commands/budget-release.ts
@@ -48,7 +48,7 @@
     }
     return this.withConnections(flags.settings, async connections => {
       const {log, clock, settings} = connections;
-      const result = await this.showing(
+      const result = await this.withProgress(
         `Releasing ${grantId}`,
         releaseStrandedGrant(log, clock, {
           organisation,
--- a/packages/command-line/src/commands/dump.ts
+++ b/packages/command-line/src/commands/dump.ts
@@ -2,7 +2,7 @@
 
 import {InspectionClient} from '../inspection-client.js';
 import {OperatorCommand} from '../operator-command.js';
-import {readable} from '../readable.js';
+import {formatValue} from '../text-format.js';
 
 const DEFAULT_MAXIMUM_BYTES = 262_144;
 
@@ -34,7 +34,7 @@
     const client = new InspectionClient(args.address);
     try {
       const state = await client.dump(flags['maximum-bytes']);
-      this.log(readable(state));
+      this.log(formatValue(state));
       return state;
     } finally {
       client.close();
--- a/packages/command-line/src/commands/fleet-status.ts
+++ b/packages/command-line/src/commands/fleet-status.ts
@@ -4,14 +4,18 @@
 
 import {CommandError} from '../command-error.js';
 import type {Connections} from '../connections.js';
-import {fleetProcesses, survey, type SurveyAnswer} from '../fleet-survey.js';
+import {
+  listFleetProcesses,
+  queryProcesses,
+  type ProcessAnswer,
+} from '../fleet-processes.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
-import {table} from '../readable.js';
+import {formatTable} from '../text-format.js';
 
 /** Enough for the version; lists are cut away. */
 const STATUS_DUMP_BYTES = 16_384;
 
-function versionOf(answer: SurveyAnswer): number | undefined {
+function versionOf(answer: ProcessAnswer): number | undefined {
   const state = answer.answer as {configurationVersion?: number} | undefined;
   return state?.configurationVersion;
 }
@@ -38,9 +42,9 @@
     const {flags} = await this.parse(FleetStatus);
     return this.withConnections(flags.settings, async connections => {
       const version = await versionOnLog(connections);
-      const answers = await this.showing(
+      const answers = await this.withProgress(
         'Asking the fleet',
-        survey(await fleetProcesses(connections), client =>
+        queryProcesses(await listFleetProcesses(connections), client =>
           client.dump(STATUS_DUMP_BYTES),
         ),
       );
@@ -66,7 +70,7 @@
           : `Version ${version} is in force on the log.`,
       );
       this.log(
-        table(
+        formatTable(
           ['data centre', 'host', 'process', 'state', 'address', 'version'],
           processes.map(row => [
             row.dataCenter,
--- a/packages/command-line/src/commands/follow.ts
+++ b/packages/command-line/src/commands/follow.ts
@@ -2,7 +2,7 @@
 import {CONFIGURATION_STREAM} from '@wisteriadeal/operator';
 import type {LogRecord} from '@wisteriadeal/platform';
 
-import {describeRecord} from '../record-text.js';
+import {decodeRecord} from '../decoded-record.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 
 const PAGE_RECORDS = 100;
@@ -51,11 +51,11 @@
   }
 
   private printRecord(stream: string, record: LogRecord): void {
-    const described = describeRecord(stream, record);
+    const decoded = decodeRecord(stream, record);
     process.stdout.write(
       this.jsonEnabled()
-        ? `${JSON.stringify(described)}\n`
-        : `${described.offset} ${described.appendedAt} ${JSON.stringify(described.record)}\n`,
+        ? `${JSON.stringify(decoded)}\n`
+        : `${decoded.offset} ${decoded.appendedAt} ${JSON.stringify(decoded.record)}\n`,
     );
   }
 }
--- a/packages/command-line/src/commands/publish.ts
+++ b/packages/command-line/src/commands/publish.ts
@@ -14,7 +14,7 @@
 import {loadConfiguration} from '../configuration-file.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 
-function refusal(result: PublicationResult, file: string): CommandError {
+function refusalError(result: PublicationResult, file: string): CommandError {
   if (result.outcome === PublicationOutcome.Overtaken) {
     const winner = result.operatorInForce || 'another operator';
     return new CommandError(
@@ -61,7 +61,7 @@
     const publicationId = flags.id ?? randomUUID();
     return this.withConnections(flags.settings, async connections => {
       const {log, clock, settings} = connections;
-      const inForce = await this.showing(
+      const inForce = await this.withProgress(
         'Reading the version in force',
         readConfiguration(log),
       );
@@ -79,7 +79,7 @@
         return {published: false, version: inForce.version, changes};
       }
       this.retryHint = `Run the same line with --id ${publicationId} --base ${baseVersion}: it is published once, and you are told the verdict.`;
-      const result = await this.showing(
+      const result = await this.withProgress(
         `Publishing over version ${baseVersion} as ${publicationId}`,
         publishConfiguration(log, clock, {
           configuration,
@@ -90,7 +90,7 @@
         }),
       );
       if (result.outcome !== PublicationOutcome.Accepted) {
-        throw refusal(result, args.file);
+        throw refusalError(result, args.file);
       }
       this.log(
         `Version ${result.version} is accepted; processes apply it as they read it.`,
--- a/packages/command-line/src/commands/request-explain.ts
+++ b/packages/command-line/src/commands/request-explain.ts
@@ -2,9 +2,9 @@
 import {ExitCode} from '@wisteriadeal/runtime';
 
 import {CommandError} from '../command-error.js';
-import {fleetProcesses, survey} from '../fleet-survey.js';
+import {listFleetProcesses, queryProcesses} from '../fleet-processes.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
-import {readable} from '../readable.js';
+import {formatValue} from '../text-format.js';
 import {findRequestEntries} from '../request-entries.js';
 
 /** Says what happened to a request. */
@@ -27,13 +27,13 @@
     const {args, flags} = await this.parse(RequestExplain);
     const requestId = args.request;
     return this.withConnections(flags.settings, async connections => {
-      const answers = await this.showing(
+      const answers = await this.withProgress(
         'Asking the fleet',
-        survey(await fleetProcesses(connections), client =>
+        queryProcesses(await listFleetProcesses(connections), client =>
           client.explainRequest(requestId),
         ),
       );
-      const entries = await this.showing(
+      const entries = await this.withProgress(
         'Searching the ledger',
         findRequestEntries(
           connections.log,
@@ -41,24 +41,28 @@
           requestId,
         ),
       );
-      const known = answers.filter(({answer}) => answer !== undefined);
-      const unreached = answers.filter(({failure}) => failure !== undefined);
-      if (known.length === 0 && entries.length === 0) {
+      const processesWithRequest = answers.filter(
+        ({answer}) => answer !== undefined,
+      );
+      const unreachableProcesses = answers.filter(
+        ({failure}) => failure !== undefined,
+      );
+      if (processesWithRequest.length === 0 && entries.length === 0) {
         throw new CommandError(
           ExitCode.NotFound,
-          `Nothing is known of ${requestId} (${unreached.length} of ${answers.length} processes were not reached)`,
+          `Nothing is known of ${requestId} (${unreachableProcesses.length} of ${answers.length} processes were not reached)`,
           'Check the identifier. A request that was refused leaves a trace only in the log lines of its router.',
         );
       }
-      for (const {host, process, answer} of known) {
-        this.log(`${host} ${process}:\n${readable(answer)}\n`);
+      for (const {host, process, answer} of processesWithRequest) {
+        this.log(`${host} ${process}:\n${formatValue(answer)}\n`);
       }
       for (const entry of entries) {
         this.log(
-          `${entry.stream} offset ${entry.offset}, ${entry.kind}:\n${readable(entry.value)}\n`,
+          `${entry.stream} offset ${entry.offset}, ${entry.kind}:\n${formatValue(entry.value)}\n`,
         );
       }
-      for (const {host, process, failure} of unreached) {
+      for (const {host, process, failure} of unreachableProcesses) {
         this.log(`${host} ${process}: not reached (${failure ?? ''})`);
       }
       return {requestId, processes: answers, ledger: entries};
--- a/packages/command-line/src/commands/request-summary.ts
+++ b/packages/command-line/src/commands/request-summary.ts
@@ -5,7 +5,7 @@
 
 import {CommandError} from '../command-error.js';
 import {OperatorCommand} from '../operator-command.js';
-import {table} from '../readable.js';
+import {formatTable} from '../text-format.js';
 import {RequestTally, type TallyRow} from '../request-tally.js';
 
 /** Tells from gateways' logs how requests ended, by reason. */
@@ -46,7 +46,7 @@
       );
     }
     const rows = tally.result();
-    this.log(table(HEADINGS, rows.map(cells)));
+    this.log(formatTable(HEADINGS, rows.map(rowCells)));
     return {reasons: rows};
   }
 }
@@ -61,7 +61,7 @@
   'requests then',
 ];
 
-function cells(row: TallyRow): readonly string[] {
+function rowCells(row: TallyRow): readonly string[] {
   return [
     row.outcome,
     String(row.status),
--- a/packages/command-line/src/commands/top-up.ts
+++ b/packages/command-line/src/commands/top-up.ts
@@ -49,7 +49,7 @@
     }
     return this.withConnections(flags.settings, async connections => {
       const {log, clock, settings} = connections;
-      const result = await this.showing(
+      const result = await this.withProgress(
         `Crediting ${args.tokens} tokens as ${flags.id}`,
         topUp(log, clock, {
           organisation: args.organisation,
--- a/packages/command-line/src/connections.ts
+++ b/packages/command-line/src/connections.ts
@@ -10,7 +10,7 @@
 import type {CheckedSettings} from './command-settings.js';
 
 /** Name under which the command line reads the host list. */
-const VIEWER = 'operator';
+const HOST_LIST_VIEWER = 'operator';
 
 /** What a command reaches of the world outside. */
 export interface Connections {
@@ -27,7 +27,7 @@
   const log = new HttpLogClient({url: logUrl, timeoutMilliseconds});
   const hostList = new HttpHostList({
     url: hostListUrl,
-    viewer: VIEWER,
+    viewer: HOST_LIST_VIEWER,
     timeoutMilliseconds,
   });
   return {
--- a/packages/command-line/src/record-text.ts
+++ b/packages/command-line/src/decoded-record.ts
@@ -7,7 +7,7 @@
 } from '@wisteriadeal/schema';
 
 /** A record in a form that can be printed. */
-export interface DescribedRecord {
+export interface DecodedRecord {
   readonly offset: number;
   /** The platform's wall clock; for people only. */
   readonly appendedAt: string;
@@ -16,10 +16,10 @@
 }
 
 /** Decodes a record by the stream that it stands on. */
-export function describeRecord(
+export function decodeRecord(
   stream: string,
   {offset, payload, appendedAtMilliseconds}: LogRecord,
-): DescribedRecord {
+): DecodedRecord {
   const schema =
     stream === CONFIGURATION_STREAM
       ? ConfigurationRecordSchema
--- a/packages/command-line/src/fleet-survey.ts
+++ b/packages/command-line/src/fleet-processes.ts
@@ -4,7 +4,7 @@
 import {InspectionClient} from './inspection-client.js';
 
 /** Processes asked at once: an operator's question is no load on the fleet. */
-const CONCURRENT_QUESTIONS = 16;
+const MAXIMUM_CONCURRENT_QUERIES = 16;
 
 /** A process of the fleet that can be asked. */
 export interface FleetProcess {
@@ -16,7 +16,7 @@
 }
 
 /** What one process answered. */
-export interface SurveyAnswer extends FleetProcess {
+export interface ProcessAnswer extends FleetProcess {
   /** Undefined where it knows nothing, or could not be asked. */
   readonly answer: unknown;
   /** Why it could not be asked. */
@@ -27,7 +27,7 @@
  * The processes of the platform's list; while the list is away, those that the
  * settings name.
  */
-export async function fleetProcesses(
+export async function listFleetProcesses(
   connections: Connections,
 ): Promise<readonly FleetProcess[]> {
   try {
@@ -63,13 +63,13 @@
   }
 }
 
-async function askOne(
+async function queryProcess(
   target: FleetProcess,
-  question: (client: InspectionClient) => Promise<unknown>,
-): Promise<SurveyAnswer> {
+  query: (client: InspectionClient) => Promise<unknown>,
+): Promise<ProcessAnswer> {
   const client = new InspectionClient(target.address);
   try {
-    return {...target, answer: await question(client), failure: undefined};
+    return {...target, answer: await query(client), failure: undefined};
   } catch (error) {
     if (!(error instanceof StepError)) {
       throw error;
@@ -89,18 +89,20 @@
  * const answers = await survey(processes, client => client.dump(4_096));
  * ```
  */
-export async function survey(
+export async function queryProcesses(
   targets: readonly FleetProcess[],
-  question: (client: InspectionClient) => Promise<unknown>,
-): Promise<readonly SurveyAnswer[]> {
-  const answers: SurveyAnswer[] = [];
-  const waiting = [...targets];
-  const askOn = async () => {
-    for (let next = waiting.shift(); next; next = waiting.shift()) {
-      answers.push(await askOne(next, question));
+  query: (client: InspectionClient) => Promise<unknown>,
+): Promise<readonly ProcessAnswer[]> {
+  const answers: ProcessAnswer[] = [];
+  const pending = [...targets];
+  const queryPending = async () => {
+    for (let next = pending.shift(); next; next = pending.shift()) {
+      answers.push(await queryProcess(next, query));
     }
   };
-  await Promise.all(Array.from({length: CONCURRENT_QUESTIONS}, askOn));
+  await Promise.all(
+    Array.from({length: MAXIMUM_CONCURRENT_QUERIES}, queryPending),
+  );
   return answers.sort((one, other) =>
     `${one.dataCenter} ${one.host} ${one.process}`.localeCompare(
       `${other.dataCenter} ${other.host} ${other.process}`,
--- a/packages/command-line/src/inspection-client.ts
+++ b/packages/command-line/src/inspection-client.ts
@@ -7,24 +7,24 @@
 import {InspectionService} from '@wisteriadeal/schema';
 
 /** A process that does not answer by then is reported as unreachable. */
-const TIMEOUT_MILLISECONDS = 5_000;
+const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
 /** Asks one process about itself. */
 export class InspectionClient {
-  private readonly sessions: Http2SessionManager;
+  private readonly sessionManager: Http2SessionManager;
   private readonly client: Client<typeof InspectionService>;
 
   /** @param address `IP:port` of the process's control services. */
   constructor(readonly address: string) {
     const baseUrl = `http://${address}`;
-    this.sessions = new Http2SessionManager(baseUrl);
+    this.sessionManager = new Http2SessionManager(baseUrl);
     this.client = createClient(
       InspectionService,
       createConnectTransport({
         baseUrl,
         httpVersion: '2',
-        sessionManager: this.sessions,
-        defaultTimeoutMs: TIMEOUT_MILLISECONDS,
+        sessionManager: this.sessionManager,
+        defaultTimeoutMs: CALL_TIMEOUT_MILLISECONDS,
       }),
     );
   }
@@ -36,7 +36,7 @@
    * @throws StepError when it can't be reached.
    */
   async dump(maximumBytes: number): Promise<unknown> {
-    const answer = await this.ask('dump', () =>
+    const answer = await this.call('dump', () =>
       this.client.dump({maximumBytes}),
     );
     return JSON.parse(answer.stateJson);
@@ -44,7 +44,7 @@
 
   /** What it knows of a request; undefined where nothing. */
   async explainRequest(requestId: string): Promise<unknown> {
-    const answer = await this.ask('explain a request', () =>
+    const answer = await this.call('explain a request', () =>
       this.client.explainRequest({requestId}),
     );
     return answer.known ? JSON.parse(answer.explanationJson) : undefined;
@@ -52,7 +52,7 @@
 
   /** What it knows of a budget; undefined where nothing. */
   async explainBudget(organisation: string): Promise<unknown> {
-    const answer = await this.ask('explain a budget', () =>
+    const answer = await this.call('explain a budget', () =>
       this.client.explainBudget({organisation}),
     );
     return answer.known ? JSON.parse(answer.explanationJson) : undefined;
@@ -60,15 +60,15 @@
 
   /** Ends the connection. */
   close(): void {
-    this.sessions.abort();
+    this.sessionManager.abort();
   }
 
-  private async ask<Answer>(
+  private async call<Answer>(
     step: string,
-    call: () => Promise<Answer>,
+    invoke: () => Promise<Answer>,
   ): Promise<Answer> {
     try {
-      return await call();
+      return await invoke();
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       throw new StepError(step, this.address, Fate.NotDone, reason, {
--- a/packages/command-line/src/operator-command.ts
+++ b/packages/command-line/src/operator-command.ts
@@ -9,7 +9,7 @@
 import {connect, type Connections} from './connections.js';
 
 /** What oclif adds to its messages; the next step says it here. */
-const SEE_MORE = /\nSee more help with --help$/;
+const OCLIF_HELP_HINT = /\nSee more help with --help$/;
 
 /** Flags of every command that reaches the platform or a process. */
 export const settingsFlag = Flags.string({
@@ -39,7 +39,7 @@
   }
 
   /** Shows on standard error that something takes its time. */
-  protected async showing<Result>(
+  protected async withProgress<Result>(
     action: string,
     work: Promise<Result>,
   ): Promise<Result> {
@@ -52,8 +52,8 @@
     return result;
   }
 
-  protected override catch(thrown: Error): Promise<void> {
-    this.report(this.asCommandError(thrown));
+  protected override catch(error: Error): Promise<void> {
+    this.report(this.asCommandError(error));
     return Promise.resolve();
   }
 
@@ -70,7 +70,7 @@
         )
       : new CommandError(
           ExitCode.Usage,
-          thrown.message.replace(SEE_MORE, ''),
+          thrown.message.replace(OCLIF_HELP_HINT, ''),
           `Run "wisteriadeal ${(this.id ?? '').replace(':', ' ')} --help".`,
         );
   }
--- a/packages/command-line/src/request-entries.ts
+++ b/packages/command-line/src/request-entries.ts
@@ -17,7 +17,7 @@
   readonly value: unknown;
 }
 
-function concerns({kind}: LedgerEntry, requestId: string): boolean {
+function refersToRequest({kind}: LedgerEntry, requestId: string): boolean {
   switch (kind.case) {
     case 'bill':
     case 'claim':
@@ -35,14 +35,14 @@
   }
 }
 
-function entriesIn(
+function decodeMatchingEntries(
   stream: string,
   offset: number,
   payload: Uint8Array,
   requestId: string,
 ): RequestEntry[] {
   return fromBinary(LedgerBatchSchema, payload)
-    .entries.filter(entry => concerns(entry, requestId))
+    .entries.filter(entry => refersToRequest(entry, requestId))
     .map(entry => ({
       stream,
       offset,
@@ -70,7 +70,9 @@
     while (position < end) {
       const page = await log.read(stream, position, PAGE_RECORDS, 0);
       for (const {offset, payload} of page.records) {
-        found.push(...entriesIn(stream, offset, payload, requestId));
+        found.push(
+          ...decodeMatchingEntries(stream, offset, payload, requestId),
+        );
       }
       position = page.nextOffset;
       end = page.endOffset;
--- a/packages/command-line/src/request-tally.ts
+++ b/packages/command-line/src/request-tally.ts
@@ -19,15 +19,15 @@
   readonly outcome: string;
   readonly status: number;
   readonly bound: number;
-  readonly endedAt: number;
+  readonly endedAtMilliseconds: number;
 }
 
-interface OpenRow {
+interface RowAccumulator {
   readonly outcome: string;
   readonly status: number;
   requests: number;
   boundTokens: number;
-  readonly bySpan: Map<number, number>;
+  readonly requestsByWindow: Map<number, number>;
 }
 
 /**
@@ -35,76 +35,92 @@
  * incident's harm lies, before single requests are looked at.
  */
 export class RequestTally {
-  private readonly rows = new Map<string, OpenRow>();
-  private total = 0;
+  private readonly rows = new Map<string, RowAccumulator>();
+  private totalRequests = 0;
 
-  /** @param spanMilliseconds Ends are told by spans of this length. */
-  constructor(private readonly spanMilliseconds: number) {}
+  /** @param windowMilliseconds Ends are told by spans of this length. */
+  constructor(private readonly windowMilliseconds: number) {}
 
   /** Takes one line of a log; whatever is no request's end is passed over. */
   add(line: string): void {
-    const request = requestLine(line);
+    const request = parseRequestLine(line);
     if (request === undefined) {
       return;
     }
-    this.total++;
-    const row = this.row(request);
-    row.requests++;
-    row.boundTokens += request.bound;
-    const span = Math.floor(request.endedAt / this.spanMilliseconds);
-    row.bySpan.set(span, (row.bySpan.get(span) ?? 0) + 1);
+    this.totalRequests++;
+    const rowOf = this.row(request);
+    rowOf.requests++;
+    rowOf.boundTokens += request.bound;
+    const window = Math.floor(
+      request.endedAtMilliseconds / this.windowMilliseconds,
+    );
+    rowOf.requestsByWindow.set(
+      window,
+      (rowOf.requestsByWindow.get(window) ?? 0) + 1,
+    );
   }
 
   /** Most frequent first. */
   result(): readonly TallyRow[] {
     return [...this.rows.values()]
       .sort((one, other) => other.requests - one.requests)
-      .map(row => this.closed(row));
+      .map(row => this.toTallyRow(row));
   }
 
-  private row({outcome, status}: RequestLine): OpenRow {
+  private row({outcome, status}: RequestLine): RowAccumulator {
     const key = `${outcome} ${status}`;
     let row = this.rows.get(key);
     if (row === undefined) {
-      row = {outcome, status, requests: 0, boundTokens: 0, bySpan: new Map()};
+      row = {
+        outcome,
+        status,
+        requests: 0,
+        boundTokens: 0,
+        requestsByWindow: new Map(),
+      };
       this.rows.set(key, row);
     }
     return row;
   }
 
-  private closed({bySpan, ...row}: OpenRow): TallyRow {
-    const [worst = [0, 0]] = [...bySpan].sort(
+  private toTallyRow({
+    requestsByWindow: requestsByWindow,
+    ...row
+  }: RowAccumulator): TallyRow {
+    const [worstWindow = [0, 0]] = [...requestsByWindow].sort(
       (one, other) => other[1] - one[1],
     );
     return {
       ...row,
-      part: row.requests / this.total,
-      worstAt: new Date(worst[0] * this.spanMilliseconds).toISOString(),
-      worstRequests: worst[1],
+      part: row.requests / this.totalRequests,
+      worstAt: new Date(worstWindow[0] * this.windowMilliseconds).toISOString(),
+      worstRequests: worstWindow[1],
     };
   }
 }
 
 /** A collector may put a host's name or a time before the object. */
-function requestLine(line: string): RequestLine | undefined {
+function parseRequestLine(line: string): RequestLine | undefined {
   const start = line.indexOf('{');
-  const fields = start === -1 ? undefined : parsed(line.slice(start));
+  const fields = start === -1 ? undefined : parseJsonObject(line.slice(start));
   if (fields?.event !== 'request') {
     return undefined;
   }
   const {outcome, status, bound, time} = fields;
-  const endedAt = typeof time === 'string' ? Date.parse(time) : NaN;
-  return typeof outcome !== 'string' || Number.isNaN(endedAt)
+  const endedAtMilliseconds = typeof time === 'string' ? Date.parse(time) : NaN;
+  return typeof outcome !== 'string' || Number.isNaN(endedAtMilliseconds)
     ? undefined
     : {
         outcome,
         status: typeof status === 'number' ? status : 0,
         bound: typeof bound === 'number' ? bound : 0,
-        endedAt,
+        endedAtMilliseconds: endedAtMilliseconds,
       };
 }
 
-function parsed(text: string): Readonly<Record<string, unknown>> | undefined {
+function parseJsonObject(
+  text: string,
+): Readonly<Record<string, unknown>> | undefined {
   try {
     return JSON.parse(text) as Readonly<Record<string, unknown>>;
   } catch {
--- a/packages/command-line/src/test/command-runner.ts
+++ b/packages/command-line/src/test/command-runner.ts
@@ -19,7 +19,7 @@
 
 const ROOT = new URL('../..', import.meta.url).pathname;
 
-function exitCodeSet(): number {
+function currentExitCode(): number {
   return Number(process.exitCode ?? 0);
 }
 
@@ -29,13 +29,13 @@
   id: string,
   ...argv: string[]
 ): Promise<CommandRun> {
-  const lines = {output: '', errors: ''};
-  const take = (key: keyof typeof lines) => (text: unknown) => {
-    lines[key] += `${String(text)}\n`;
+  const captured = {output: '', errors: ''};
+  const captureTo = (key: keyof typeof captured) => (text: unknown) => {
+    captured[key] += `${String(text)}\n`;
   };
   const spies = [
-    vi.spyOn(console, 'log').mockImplementation(take('output')),
-    vi.spyOn(console, 'error').mockImplementation(take('errors')),
+    vi.spyOn(console, 'log').mockImplementation(captureTo('output')),
+    vi.spyOn(console, 'error').mockImplementation(captureTo('errors')),
     vi.spyOn(process.stderr, 'write').mockReturnValue(true),
   ];
   process.exitCode = undefined;
@@ -47,7 +47,7 @@
     const command = new CommandType(argv, config);
     command.id = id;
     await (command as unknown as RunnableCommand)._run();
-    return {exitCode: exitCodeSet(), ...lines};
+    return {exitCode: currentExitCode(), ...captured};
   } finally {
     process.exitCode = undefined;
     spies.forEach(spy => {
--- a/packages/command-line/src/test/commands_test.ts
+++ b/packages/command-line/src/test/commands_test.ts
@@ -18,11 +18,13 @@
 import type {Connections} from '../connections.js';
 import {runCommand, temporaryFiles} from './command-runner.js';
 
-const world = vi.hoisted((): {current: unknown} => ({current: undefined}));
+const connections = vi.hoisted((): {current: unknown} => ({
+  current: undefined,
+}));
 
 vi.mock('../connections.js', () => ({
   connect: (settings: CheckedSettings) => ({
-    ...(world.current as Connections),
+    ...(connections.current as Connections),
     settings,
   }),
 }));
@@ -62,7 +64,7 @@
 
   beforeEach(() => {
     store = new MemoryLogStore(clock);
-    world.current = {
+    connections.current = {
       log: new MemoryLog(store, clock),
       hostList: new MemoryHostList({hosts: [], endpoints: []}),
       clock,
@@ -88,11 +90,15 @@
     runCommand(TopUp, 'top-up', ...argv, ...settings());
 
   it('checks a configuration, naming file, line and key of a mistake', async () => {
-    const right = await runCommand(Check, 'check', files.path('one.json'));
-    expect(right.exitCode).toBe(ExitCode.Success);
-    const wrong = await runCommand(Check, 'check', files.path('wrong.json'));
-    expect(wrong.exitCode).toBe(ExitCode.InvalidInput);
-    expect(wrong.errors).toMatch(
+    const validRun = await runCommand(Check, 'check', files.path('one.json'));
+    expect(validRun.exitCode).toBe(ExitCode.Success);
+    const invalidRun = await runCommand(
+      Check,
+      'check',
+      files.path('wrong.json'),
+    );
+    expect(invalidRun.exitCode).toBe(ExitCode.InvalidInput);
+    expect(invalidRun.errors).toMatch(
       /wrong\.json:\d+: organisations\.0\.weight: expected a number above 0/,
     );
   });
@@ -105,11 +111,11 @@
   });
 
   it('publishes, and tells a loser who won', async () => {
-    const first = await publish('one.json', '--yes', '--base', '0');
-    expect(first.exitCode).toBe(ExitCode.Success);
-    const loser = await publish('two.json', '--yes', '--base', '0');
-    expect(loser.exitCode).toBe(ExitCode.Overtaken);
-    expect(loser.errors).toContain('aline published version 1 first');
+    const acceptedRun = await publish('one.json', '--yes', '--base', '0');
+    expect(acceptedRun.exitCode).toBe(ExitCode.Success);
+    const overtakenRun = await publish('two.json', '--yes', '--base', '0');
+    expect(overtakenRun.exitCode).toBe(ExitCode.Overtaken);
+    expect(overtakenRun.errors).toContain('aline published version 1 first');
   });
 
   it('tops up once, however often the line is run', async () => {
@@ -163,11 +169,16 @@
   it('releases no grant without the word that its hosts are destroyed', async () => {
     const line = ['a', 'g1', '--reason', 'rack 4 burnt', ...settings()];
     const id = 'budget:release';
-    const without = await runCommand(BudgetRelease, id, ...line);
-    const unknown = await runCommand(BudgetRelease, id, ...line, '--yes');
-    expect(without.exitCode).toBe(ExitCode.Usage);
-    expect(without.errors).toContain('Nothing was released');
-    expect(unknown.exitCode).toBe(ExitCode.NotFound);
+    const unconfirmedRun = await runCommand(BudgetRelease, id, ...line);
+    const unknownGrantRun = await runCommand(
+      BudgetRelease,
+      id,
+      ...line,
+      '--yes',
+    );
+    expect(unconfirmedRun.exitCode).toBe(ExitCode.Usage);
+    expect(unconfirmedRun.errors).toContain('Nothing was released');
+    expect(unknownGrantRun.exitCode).toBe(ExitCode.NotFound);
     expect(store.endOffset('ledger-0')).toBe(0);
   });
 
--- a/packages/command-line/src/readable.ts
+++ b/packages/command-line/src/text-format.ts
@@ -10,13 +10,15 @@
     : isObject(value) && Object.keys(value).length === 0;
 }
 
-function scalar(value: unknown): string {
+function formatScalar(value: unknown): string {
   return typeof value === 'string' && value !== ''
     ? value
     : JSON.stringify(value ?? null);
 }
 
-function entries(value: unknown): readonly (readonly [string, unknown])[] {
+function labelledEntries(
+  value: unknown,
+): readonly (readonly [string, unknown])[] {
   return Array.isArray(value)
     ? value.map((item: unknown) => ['-', item] as const)
     : Object.entries(value as Readonly<Record<string, unknown>>).map(
@@ -24,11 +26,11 @@
       );
 }
 
-function linesOf(value: unknown, indent: string): string[] {
-  return entries(value).flatMap(([label, item]) =>
+function formatLines(value: unknown, indent: string): string[] {
+  return labelledEntries(value).flatMap(([label, item]) =>
     (Array.isArray(item) || isObject(item)) && !isEmpty(item)
-      ? [`${indent}${label}`, ...linesOf(item, indent + INDENT)]
-      : [`${indent}${label} ${scalar(item)}`],
+      ? [`${indent}${label}`, ...formatLines(item, indent + INDENT)]
+      : [`${indent}${label} ${formatScalar(item)}`],
   );
 }
 
@@ -43,24 +45,24 @@
  * //     tokens: 5
  * ```
  */
-export function readable(value: unknown): string {
+export function formatValue(value: unknown): string {
   return Array.isArray(value) || isObject(value)
-    ? linesOf(value, '').join('\n')
-    : scalar(value);
+    ? formatLines(value, '').join('\n')
+    : formatScalar(value);
 }
 
 /**
  * Prints rows under headings, in columns as wide as their widest cell.
  */
-export function table(
+export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const all = [headings, ...rows];
+  const headedRows = [headings, ...rows];
   const widths = headings.map((_, column) =>
-    Math.max(...all.map(row => (row[column] ?? '').length)),
+    Math.max(...headedRows.map(row => (row[column] ?? '').length)),
   );
-  return all
+  return headedRows
     .map(row =>
       row
         .map((cell, column) => cell.padEnd(widths[column] ?? 0))
--- a/packages/operator/src/configuration-builder.ts
+++ b/packages/operator/src/configuration-builder.ts
@@ -51,19 +51,19 @@
 type BuilderMethod =
   'limits' | 'modelService' | 'plainService' | 'endpoint' | 'organisation';
 
-function throwFirst(
+function throwFirstMistake(
   mistakes: readonly ConfigurationMistake[],
   subject: string,
   method: BuilderMethod,
 ): void {
-  const [first] = mistakes;
-  if (first !== undefined) {
+  const [firstMistake] = mistakes;
+  if (firstMistake !== undefined) {
     // The method itself, and not a bound copy, is what a stack trace knows.
-    const calledMethod: StackBase = Reflect.get(
+    const builderMethod: StackBase = Reflect.get(
       ConfigurationBuilder.prototype,
       method,
     );
-    throw new ConfigurationError(first, subject, calledMethod);
+    throw new ConfigurationError(firstMistake, subject, builderMethod);
   }
 }
 
@@ -71,7 +71,7 @@
  * The hash stands in a configuration that many read: a short secret could be
  * found by hashing guesses.
  */
-function checkSecrets(
+function checkSecretLengths(
   callers: readonly CallerOptions[],
   path: Path,
 ): readonly ConfigurationMistake[] {
@@ -129,8 +129,8 @@
       ...this.configuration.limits,
       ...options,
     });
-    const alone = create(ConfigurationSchema, {limits});
-    throwFirst(validateConfiguration(alone), 'limits', 'limits');
+    const limitsOnly = create(ConfigurationSchema, {limits});
+    throwFirstMistake(validateConfiguration(limitsOnly), 'limits', 'limits');
     this.configuration.limits = limits;
   }
 
@@ -151,11 +151,11 @@
         ...model,
       });
       const subject = `model service "${name}", model "${model.name}"`;
-      this.add({list: 'models', item}, subject, 'modelService');
+      this.addItem({list: 'models', item}, subject, 'modelService');
     }
     const item = create(ServiceSchema, {name, kind: ServiceKind.MODEL, models});
     const subject = `model service "${name}"`;
-    this.add({list: 'services', item, models}, subject, 'modelService');
+    this.addItem({list: 'services', item, models}, subject, 'modelService');
     return {name};
   }
 
@@ -171,7 +171,7 @@
       calls: options.calls.map(call => ({...call})),
     });
     const subject = `plain service "${name}"`;
-    this.add({list: 'services', item}, subject, 'plainService');
+    this.addItem({list: 'services', item}, subject, 'plainService');
     return {name};
   }
 
@@ -188,9 +188,9 @@
       name,
       service: options.service.name,
     });
-    const services = this.defined([options.service]);
+    const services = this.definedServices([options.service]);
     const subject = `endpoint "${name}"`;
-    this.add({list: 'endpoints', item, services}, subject, 'endpoint');
+    this.addItem({list: 'endpoints', item, services}, subject, 'endpoint');
   }
 
   /**
@@ -201,7 +201,11 @@
   organisation(name: string, options: OrganisationOptions): void {
     const subject = `organisation "${name}"`;
     const path = ['organisations', this.configuration.organisations.length];
-    throwFirst(checkSecrets(options.callers, path), subject, 'organisation');
+    throwFirstMistake(
+      checkSecretLengths(options.callers, path),
+      subject,
+      'organisation',
+    );
     const item = create(OrganisationSchema, {
       name,
       openingBudgetTokens: options.openingBudgetTokens,
@@ -214,19 +218,27 @@
         credentialSha256: credentialHash(caller),
       })),
     });
-    const services = this.defined(options.services);
-    throwFirst(this.sharedCredentials(item, path), subject, 'organisation');
-    this.add({list: 'organisations', item, services}, subject, 'organisation');
+    const services = this.definedServices(options.services);
+    throwFirstMistake(
+      this.checkCredentialsAreUnique(item, path),
+      subject,
+      'organisation',
+    );
+    this.addItem(
+      {list: 'organisations', item, services},
+      subject,
+      'organisation',
+    );
   }
 
   /** References may come from elsewhere; only what this fleet has counts. */
-  private defined(
+  private definedServices(
     references: readonly ServiceReference[],
   ): readonly ServiceReference[] {
     return references.filter(({name}) => this.lineCheck.has('services', name));
   }
 
-  private sharedCredentials(
+  private checkCredentialsAreUnique(
     organisation: Organisation,
     path: Path,
   ): readonly ConfigurationMistake[] {
@@ -239,7 +251,7 @@
     );
   }
 
-  private add<Name extends ListName>(
+  private addItem<Name extends ListName>(
     line: Omit<Line<Name>, 'limits'>,
     subject: string,
     method: BuilderMethod,
@@ -247,7 +259,7 @@
     const {limits} = this.configuration;
     const items: Configuration[Name][number][] = this.configuration[line.list];
     const mistakes = this.lineCheck.check({...line, limits}, items.length);
-    throwFirst(mistakes, subject, method);
+    throwFirstMistake(mistakes, subject, method);
     items.push(line.item);
   }
 
--- a/packages/operator/src/configuration-difference.ts
+++ b/packages/operator/src/configuration-difference.ts
@@ -19,7 +19,12 @@
 
 type JsonFields = Readonly<Record<string, unknown>>;
 
-const LISTS = ['models', 'services', 'endpoints', 'organisations'] as const;
+const ITEM_LISTS = [
+  'models',
+  'services',
+  'endpoints',
+  'organisations',
+] as const;
 
 function itemsOf(configuration: Configuration | undefined) {
   const items = new Map<string, JsonFields>();
@@ -29,7 +34,7 @@
   const json = toJson(ConfigurationSchema, configuration, {
     alwaysEmitImplicit: true,
   }) as Readonly<Record<string, unknown>>;
-  for (const list of LISTS) {
+  for (const list of ITEM_LISTS) {
     for (const item of json[list] as readonly JsonFields[]) {
       items.set(`${list} ${String(item.name)}`, item);
     }
@@ -42,9 +47,9 @@
 
 function changedKeys(before: JsonFields, after: JsonFields): string[] {
   return Object.keys(after).flatMap(key => {
-    const was = JSON.stringify(before[key] ?? null);
-    const is = JSON.stringify(after[key] ?? null);
-    return was === is ? [] : [`${key}: ${was} -> ${is}`];
+    const oldValue = JSON.stringify(before[key] ?? null);
+    const newValue = JSON.stringify(after[key] ?? null);
+    return oldValue === newValue ? [] : [`${key}: ${oldValue} -> ${newValue}`];
   });
 }
 
@@ -61,11 +66,11 @@
   before: Configuration | undefined,
   after: Configuration,
 ): readonly ConfigurationChange[] {
-  const old = itemsOf(before);
+  const itemsBefore = itemsOf(before);
   const changes: ConfigurationChange[] = [];
   for (const [item, fields] of itemsOf(after)) {
-    const previous = old.get(item);
-    old.delete(item);
+    const previous = itemsBefore.get(item);
+    itemsBefore.delete(item);
     if (previous === undefined) {
       changes.push({kind: ChangeKind.Added, item, details: []});
       continue;
@@ -75,13 +80,13 @@
       changes.push({kind: ChangeKind.Changed, item, details});
     }
   }
-  for (const item of old.keys()) {
+  for (const item of itemsBefore.keys()) {
     changes.push({kind: ChangeKind.Removed, item, details: []});
   }
   return changes;
 }
 
-const SIGNS: Readonly<Record<ChangeKind, string>> = {
+const CHANGE_SIGNS: Readonly<Record<ChangeKind, string>> = {
   [ChangeKind.Added]: '+',
   [ChangeKind.Removed]: '-',
   [ChangeKind.Changed]: '~',
@@ -90,7 +95,7 @@
 /** Prints a change as lines of text. */
 export function formatChange(change: ConfigurationChange): string {
   return [
-    `${SIGNS[change.kind]} ${change.item}`,
+    `${CHANGE_SIGNS[change.kind]} ${change.item}`,
     ...change.details.map(detail => `    ${detail}`),
   ].join('\n');
 }
--- a/packages/operator/src/configuration-error.ts
+++ b/packages/operator/src/configuration-error.ts
@@ -39,11 +39,11 @@
     this.key = key;
     this.expected = mistake.message;
     Error.captureStackTrace(this, calledMethod);
-    this.callSite = firstCallSite(this.stack ?? '');
+    this.callSite = callSiteOf(this.stack ?? '');
   }
 }
 
-function firstCallSite(stack: string): string {
+function callSiteOf(stack: string): string {
   const frame = stack.split('\n').find(line => /^\s+at /.test(line)) ?? '';
   return /\(?((?:file:\/\/)?[^\s()]+:\d+:\d+)\)?$/.exec(frame)?.[1] ?? '';
 }
--- a/packages/operator/src/fold-sources.ts
+++ b/packages/operator/src/fold-sources.ts
@@ -34,7 +34,7 @@
   }
 }
 
-function checkpointIn(payload: Uint8Array): LedgerCheckpoint | undefined {
+function findCheckpoint(payload: Uint8Array): LedgerCheckpoint | undefined {
   for (const {kind} of fromBinary(LedgerBatchSchema, payload).entries) {
     if (kind.case === 'checkpoint') {
       return kind.value;
@@ -50,7 +50,7 @@
   }
 
   override fromCheckpoint(payload: Uint8Array): LedgerFold | undefined {
-    const checkpoint = checkpointIn(payload);
+    const checkpoint = findCheckpoint(payload);
     return checkpoint === undefined
       ? undefined
       : LedgerFold.fromCheckpoint(checkpoint);
--- a/packages/operator/src/json-schema.ts
+++ b/packages/operator/src/json-schema.ts
@@ -35,14 +35,14 @@
   return {type: 'string', enum: values};
 }
 
-function reference(message: DescMessage | undefined): JsonSchema {
+function messageReference(message: DescMessage | undefined): JsonSchema {
   return {$ref: `#/$defs/${message?.name ?? ''}`};
 }
 
 function itemSchema(field: DescField & {fieldKind: 'list'}): JsonSchema {
   switch (field.listKind) {
     case 'message':
-      return reference(field.message);
+      return messageReference(field.message);
     case 'enum':
       return enumSchema(field);
     case 'scalar':
@@ -53,7 +53,7 @@
 function fieldSchema(field: DescField): JsonSchema {
   switch (field.fieldKind) {
     case 'message':
-      return reference(field.message);
+      return messageReference(field.message);
     case 'enum':
       return enumSchema(field);
     case 'scalar':
@@ -77,17 +77,17 @@
 
 function collectMessages(
   message: DescMessage,
-  found: Map<string, DescMessage>,
+  messagesByName: Map<string, DescMessage>,
 ): Map<string, DescMessage> {
-  if (!found.has(message.name)) {
-    found.set(message.name, message);
+  if (!messagesByName.has(message.name)) {
+    messagesByName.set(message.name, message);
     for (const {message: nested} of message.fields) {
       if (nested !== undefined) {
-        collectMessages(nested, found);
+        collectMessages(nested, messagesByName);
       }
     }
   }
-  return found;
+  return messagesByName;
 }
 
 /**
@@ -106,7 +106,7 @@
     $schema: DIALECT,
     $id: `urn:wisteriadeal:schema:${message.typeName}`,
     title: message.name,
-    ...reference(message),
+    ...messageReference(message),
     $defs: Object.fromEntries(
       definitions.map(definition => [
         definition.name,
--- a/packages/operator/src/line-check.ts
+++ b/packages/operator/src/line-check.ts
@@ -43,20 +43,23 @@
     line: Line<Name>,
     index: number,
   ): readonly ConfigurationMistake[] {
-    const alone = create(ConfigurationSchema, {
+    const isolated = create(ConfigurationSchema, {
       schemaRevision: SUPPORTED_SCHEMA_REVISION,
       limits: line.limits,
       services: (line.services ?? []).map(service => ({...service})),
       models: (line.models ?? []).map(name => ({name})),
       [line.list]: [line.item],
     });
-    const problems = validateConfiguration(alone)
+    const problems = validateConfiguration(isolated)
       .filter(({path}) => path[0] === line.list)
       .map(({path, message}) => ({
         path: [line.list, index, ...path.slice(2)],
         message,
       }));
-    return [...problems, ...this.unused(line.list, line.item.name, index)];
+    return [
+      ...problems,
+      ...this.registerName(line.list, line.item.name, index),
+    ];
   }
 
   /**
@@ -68,12 +71,12 @@
     credentialSha256: string,
     path: ConfigurationMistake['path'],
   ): readonly ConfigurationMistake[] {
-    const other = this.credentials.get(credentialSha256);
-    if (other !== undefined) {
+    const existingOwner = this.credentials.get(credentialSha256);
+    if (existingOwner !== undefined) {
       return [
         {
           path,
-          message: `expected a credential of its own, not that of ${other}`,
+          message: `expected a credential of its own, not that of ${existingOwner}`,
         },
       ];
     }
@@ -86,7 +89,7 @@
     return this.names.has(`${list} ${name}`);
   }
 
-  private unused(
+  private registerName(
     list: ListName,
     name: string,
     index: number,
--- a/packages/operator/src/opening-budgets.ts
+++ b/packages/operator/src/opening-budgets.ts
@@ -41,10 +41,10 @@
   openings: OpeningBudgets,
 ): ReadonlyMap<string, LedgerEntry[]> {
   const byStream = new Map<string, LedgerEntry[]>();
-  const withBudget = openings.organisations.filter(
+  const organisationsWithBudget = openings.organisations.filter(
     organisation => organisation.openingBudgetTokens > 0,
   );
-  for (const organisation of withBudget) {
+  for (const organisation of organisationsWithBudget) {
     const stream = ledgerStreamOf(organisation.name, openings.ledgerStreams);
     const entries = byStream.get(stream) ?? [];
     entries.push(openingEntry(organisation, openings.operator));
@@ -61,11 +61,15 @@
   entries: readonly LedgerEntry[],
 ): Promise<void> {
   const reader = ledgerReader(log, stream);
-  for (let start = 0; start < entries.length; start += ENTRIES_PER_RECORD) {
-    const part = entries.slice(start, start + ENTRIES_PER_RECORD);
+  for (
+    let chunkStart = 0;
+    chunkStart < entries.length;
+    chunkStart += ENTRIES_PER_RECORD
+  ) {
+    const chunk = entries.slice(chunkStart, chunkStart + ENTRIES_PER_RECORD);
     const batch = create(LedgerBatchSchema, {
       writer: `operator/${openings.operator}`,
-      entries: part,
+      entries: chunk,
     });
     await appendUntilDecided({
       log,
@@ -74,7 +78,7 @@
       payload: toBinary(LedgerBatchSchema, batch),
       patience: openings.patience,
       isDecided: fold =>
-        part.every(entry => fold.hasSeen(entry.organisation, entry.entryId)),
+        chunk.every(entry => fold.hasSeen(entry.organisation, entry.entryId)),
     });
   }
 }
--- a/packages/operator/src/publication.ts
+++ b/packages/operator/src/publication.ts
@@ -58,7 +58,7 @@
   readonly operatorInForce: string;
 }
 
-function encode(request: PublicationRequest): Uint8Array {
+function encodePublication(request: PublicationRequest): Uint8Array {
   return toBinary(
     ConfigurationRecordSchema,
     create(ConfigurationRecordSchema, {
@@ -90,12 +90,12 @@
   request: PublicationRequest,
   verdict: PublicationVerdict,
 ): PublicationResult {
-  const overtaken = verdict.version !== request.baseVersion;
-  const refused = overtaken
+  const isOvertaken = verdict.version !== request.baseVersion;
+  const refusalOutcome = isOvertaken
     ? PublicationOutcome.Overtaken
     : PublicationOutcome.Invalid;
   return {
-    outcome: verdict.accepted ? PublicationOutcome.Accepted : refused,
+    outcome: verdict.accepted ? PublicationOutcome.Accepted : refusalOutcome,
     publicationId: verdict.publicationId,
     version: verdict.version,
     reason: verdict.reason,
@@ -104,7 +104,7 @@
 }
 
 /** Why an invalid configuration is not even appended; undefined where valid. */
-function invalidResult(
+function validateBeforeAppend(
   request: PublicationRequest,
 ): PublicationResult | undefined {
   const [problem] = validateConfiguration(request.configuration);
@@ -124,7 +124,7 @@
  * repeated publication takes nothing for known: the first try may have been cut
  * off between its acceptance and the opening budgets.
  */
-function organisationsInForce(
+function organisationsWithOpeningBudget(
   fold: ConfigurationFold,
   publicationId: string,
 ): ReadonlySet<string> {
@@ -155,19 +155,22 @@
   clock: Clock,
   request: PublicationRequest,
 ): Promise<PublicationResult> {
-  const invalid = invalidResult(request);
+  const invalid = validateBeforeAppend(request);
   if (invalid !== undefined) {
     return invalid;
   }
   const patience = request.patience ?? DEFAULT_PATIENCE;
   const reader = configurationReader(log);
   const {publicationId} = request;
-  const known = organisationsInForce(await reader.readToEnd(), publicationId);
+  const alreadyCredited = organisationsWithOpeningBudget(
+    await reader.readToEnd(),
+    publicationId,
+  );
   await appendUntilDecided({
     log,
     clock,
     reader,
-    payload: encode(request),
+    payload: encodePublication(request),
     patience,
     isDecided: fold => fold.verdict(publicationId) !== undefined,
   });
@@ -185,7 +188,7 @@
       operator: request.operator,
       ledgerStreams: request.ledgerStreams,
       organisations: request.configuration.organisations.filter(
-        organisation => !known.has(organisation.name),
+        organisation => !alreadyCredited.has(organisation.name),
       ),
       patience,
     });
--- a/packages/operator/src/stranded-release.ts
+++ b/packages/operator/src/stranded-release.ts
@@ -60,16 +60,16 @@
   const {organisation, grantId, operator, reason} = request;
   const stream = ledgerStreamOf(organisation, request.ledgerStreams);
   const reader = ledgerReader(log, stream);
-  const result = (outcome: StrandedReleaseOutcome) => ({
+  const resultWith = (outcome: StrandedReleaseOutcome) => ({
     outcome,
     unallocatedTokens: reader.fold.totals(organisation).unallocatedTokens,
   });
   const grant = (await reader.readToEnd()).grant(organisation, grantId);
   if (grant === undefined) {
-    return result(StrandedReleaseOutcome.UnknownGrant);
+    return resultWith(StrandedReleaseOutcome.UnknownGrant);
   }
   if (grant.closed) {
-    return result(StrandedReleaseOutcome.AlreadyClosed);
+    return resultWith(StrandedReleaseOutcome.AlreadyClosed);
   }
   const entryId = `stranded-release:${grantId}`;
   await appendUntilDecided({
@@ -84,5 +84,5 @@
     patience: request.patience ?? DEFAULT_PATIENCE,
     isDecided: fold => fold.hasSeen(organisation, entryId),
   });
-  return result(StrandedReleaseOutcome.Released);
+  return resultWith(StrandedReleaseOutcome.Released);
 }
--- a/packages/operator/src/stream-reader.ts
+++ b/packages/operator/src/stream-reader.ts
@@ -29,7 +29,7 @@
  * nothing is folded until a checkpoint is found.
  */
 export class StreamReader<Fold extends {readonly nextOffset: number}> {
-  private current: Fold;
+  private currentFold: Fold;
   private position = 0;
   private seekingCheckpoint = false;
 
@@ -38,12 +38,12 @@
     readonly stream: string,
     private readonly source: FoldSource<Fold>,
   ) {
-    this.current = source.empty();
+    this.currentFold = source.empty();
   }
 
   /** The state as far as it was read. */
   get fold(): Fold {
-    return this.current;
+    return this.currentFold;
   }
 
   /**
@@ -69,10 +69,10 @@
     }
     this.position = page.nextOffset;
     if (this.seekingCheckpoint) {
-      this.seek(page);
+      this.seekCheckpoint(page);
     } else {
       for (const {offset, payload} of page.records) {
-        this.source.apply(this.current, offset, payload);
+        this.source.apply(this.currentFold, offset, payload);
       }
     }
     return this.position >= page.endOffset;
@@ -101,7 +101,7 @@
         'the first records have expired and no checkpoint was found',
       );
     }
-    return this.current;
+    return this.currentFold;
   }
 
   /**
@@ -109,11 +109,11 @@
    * goes on right behind its state: records between that and the checkpoint's own
    * place were not folded while seeking.
    */
-  private seek(page: LogPage): void {
+  private seekCheckpoint(page: LogPage): void {
     for (const {payload} of page.records) {
       const fold = this.source.fromCheckpoint(payload);
       if (fold !== undefined && fold.nextOffset >= page.firstOffset) {
-        this.current = fold;
+        this.currentFold = fold;
         this.position = fold.nextOffset;
         this.seekingCheckpoint = false;
         return;
--- a/packages/operator/src/test/configuration-builder_test.ts
+++ b/packages/operator/src/test/configuration-builder_test.ts
@@ -7,7 +7,7 @@
 import {ConfigurationError} from '../configuration-error.js';
 import {hashCredential, mintCredential} from '../credential.js';
 
-function thrownBy(line: () => unknown): ConfigurationError {
+function catchConfigurationError(line: () => unknown): ConfigurationError {
   try {
     line();
   } catch (error) {
@@ -19,7 +19,7 @@
   throw new Error('nothing was thrown');
 }
 
-function smallFleet() {
+function createSmallFleet() {
   const fleet = new ConfigurationBuilder();
   const tutor = fleet.modelService('tutor-models', {
     models: [{name: 'tutor-7b', maximumOutputTokens: 1_024}],
@@ -47,7 +47,7 @@
 
 describe('ConfigurationBuilder', () => {
   it('prints a configuration that reads back the same and passes its check', () => {
-    const {fleet, tutor, registry} = smallFleet();
+    const {fleet, tutor, registry} = createSmallFleet();
     fleet.organisation('kigali-bar-school', {
       openingBudgetTokens: 1_000_000,
       callers: [{name: 'trainee-app', secret: 'open sesame, open sesame'}],
@@ -64,8 +64,8 @@
   });
 
   it('throws at the line of the mistake, naming key and expectation', () => {
-    const {fleet, tutor} = smallFleet();
-    const error = thrownBy(() => {
+    const {fleet, tutor} = createSmallFleet();
+    const error = catchConfigurationError(() => {
       fleet.endpoint('tutor-2', {
         service: tutor,
         dataCenter: 'kigali-1',
@@ -87,8 +87,8 @@
     ['a secret that can be guessed', {callers: [{name: 'app', secret: 'x'}]}],
     ['a wrong hash', {callers: [{name: 'app', credentialSha256: 'ABC'}]}],
   ])('refuses %s', (_, wrong) => {
-    const {fleet, tutor} = smallFleet();
-    const error = thrownBy(() => {
+    const {fleet, tutor} = createSmallFleet();
+    const error = catchConfigurationError(() => {
       fleet.organisation('kigali-bar-school', {
         openingBudgetTokens: 1,
         callers: [],
@@ -100,7 +100,7 @@
   });
 
   it('refuses a credential that another organisation has', () => {
-    const {fleet, tutor} = smallFleet();
+    const {fleet, tutor} = createSmallFleet();
     const {credentialSha256} = mintCredential();
     const options = {
       openingBudgetTokens: 1,
@@ -108,7 +108,7 @@
       services: [tutor],
     };
     fleet.organisation('one', options);
-    const error = thrownBy(() => {
+    const error = catchConfigurationError(() => {
       fleet.organisation('two', options);
     });
     expect(error.expected).toContain('not that of one/app');
--- a/packages/operator/src/test/fixtures.ts
+++ b/packages/operator/src/test/fixtures.ts
@@ -13,14 +13,14 @@
 };
 
 /** A log, its faults and a clock. */
-export function logInMemory() {
+export function createMemoryLog() {
   const clock = new FakeClock();
   const store = new MemoryLogStore(clock);
   return {clock, store, log: new MemoryLog(store, clock)};
 }
 
 /** Lets time pass until the promise settles; gives what it settled to. */
-export async function settled<Value>(
+export async function settle<Value>(
   clock: FakeClock,
   promise: Promise<Value>,
 ): Promise<Value | Error> {
--- a/packages/operator/src/test/never-reverts_test.ts
+++ b/packages/operator/src/test/never-reverts_test.ts
@@ -13,66 +13,68 @@
 import {
   configurationWith,
   LEDGER_STREAMS,
-  logInMemory,
+  createMemoryLog,
   PATIENCE,
-  settled,
+  settle,
 } from './fixtures.js';
 
-enum Event {
+enum LogEvent {
   /** Two operators publish from the same version at once. */
   Race = 'race',
   /** Copies of all records kept come late, as after lost answers. */
-  LateCopies = 'late-copies',
+  DelayedDuplicates = 'late-copies',
   /** The next two answers of the log are lost. */
-  LostAnswers = 'lost-answers',
+  LostResponses = 'lost-answers',
   /** A checkpoint is written and everything before it expires. */
   Expiry = 'expiry',
   /** A record that nobody understands is appended. */
-  ForeignRecord = 'foreign-record',
+  UndecodableRecord = 'foreign-record',
 }
 
-class Operators {
-  private readonly world = logInMemory();
+class PublicationScenario {
+  private readonly fixture = createMemoryLog();
   /** Publications whose operators were told that they are in force. */
-  readonly accepted: string[] = [];
-  private minted = 0;
+  readonly acceptedPublicationIds: string[] = [];
+  private publicationCount = 0;
 
-  async happens(event: Event): Promise<void> {
-    const {log, store} = this.world;
+  async simulate(event: LogEvent): Promise<void> {
+    const {log, store} = this.fixture;
     store.faults.retentionRecords = undefined;
     switch (event) {
-      case Event.Race: {
-        const {version} = await this.read();
+      case LogEvent.Race: {
+        const {version} = await this.readFold();
         await Promise.all([this.publish(version), this.publish(version)]);
         return;
       }
-      case Event.LateCopies:
+      case LogEvent.DelayedDuplicates:
         store.faults.loseAnswers = 0;
         for (const {payload} of [...store.records(CONFIGURATION_STREAM)]) {
           await log.append(CONFIGURATION_STREAM, payload);
         }
         return;
-      case Event.LostAnswers:
+      case LogEvent.LostResponses:
         store.faults.loseAnswers = 2;
         return;
-      case Event.Expiry:
+      case LogEvent.Expiry:
         store.faults.loseAnswers = 0;
         store.faults.retentionRecords = 1;
-        await this.checkpoint();
+        await this.appendCheckpoint();
         return;
-      case Event.ForeignRecord:
+      case LogEvent.UndecodableRecord:
         store.faults.loseAnswers = 0;
         await log.append(CONFIGURATION_STREAM, Buffer.from('not a record'));
     }
   }
 
-  read() {
-    return readConfiguration(new MemoryLog(this.world.store, this.world.clock));
+  readFold() {
+    return readConfiguration(
+      new MemoryLog(this.fixture.store, this.fixture.clock),
+    );
   }
 
   private async publish(baseVersion: number): Promise<void> {
-    const {clock, store} = this.world;
-    const publicationId = `p${this.minted++}`;
+    const {clock, store} = this.fixture;
+    const publicationId = `p${this.publicationCount++}`;
     const log = new MemoryLog(store, clock);
     const publication = publishConfiguration(log, clock, {
       configuration: configurationWith(`org-of-${publicationId}`),
@@ -82,21 +84,21 @@
       ledgerStreams: LEDGER_STREAMS,
       patience: PATIENCE,
     });
-    const result = await settled(clock, publication);
+    const result = await settle(clock, publication);
     if (
       !(result instanceof Error) &&
       result.outcome === PublicationOutcome.Accepted
     ) {
-      this.accepted.push(publicationId);
+      this.acceptedPublicationIds.push(publicationId);
     }
   }
 
-  private async checkpoint(): Promise<void> {
-    const value = (await this.read()).toCheckpoint();
+  private async appendCheckpoint(): Promise<void> {
+    const value = (await this.readFold()).toCheckpoint();
     const record = create(ConfigurationRecordSchema, {
       kind: {case: 'checkpoint', value},
     });
-    await this.world.log.append(
+    await this.fixture.log.append(
       CONFIGURATION_STREAM,
       toBinary(ConfigurationRecordSchema, record),
     );
@@ -109,29 +111,29 @@
   // version rise by one with each race, and never another configuration under
   // the same version: a venue would be served by a fleet that went back in time.
   it.prop(
-    [fc.array(fc.constantFrom(...Object.values(Event)), {maxLength: 12})],
+    [fc.array(fc.constantFrom(...Object.values(LogEvent)), {maxLength: 12})],
     {
       seed: 41,
       numRuns: 60,
     },
   )('rises by one with each race and never reverts', async events => {
-    const operators = new Operators();
-    let races = 0;
-    let named = '';
+    const scenario = new PublicationScenario();
+    let raceCount = 0;
+    let previousOrganisation = '';
     for (const event of events) {
-      await operators.happens(event);
-      const fold = await operators.read();
-      races += event === Event.Race ? 1 : 0;
-      expect(fold.version).toBe(races);
-      expect(operators.accepted).toHaveLength(races);
-      for (const publicationId of operators.accepted) {
+      await scenario.simulate(event);
+      const fold = await scenario.readFold();
+      raceCount += event === LogEvent.Race ? 1 : 0;
+      expect(fold.version).toBe(raceCount);
+      expect(scenario.acceptedPublicationIds).toHaveLength(raceCount);
+      for (const publicationId of scenario.acceptedPublicationIds) {
         expect(fold.verdict(publicationId)?.accepted).toBe(true);
       }
-      const name = fold.configuration?.organisations[0]?.name ?? '';
-      if (event !== Event.Race) {
-        expect(name).toBe(named);
+      const organisation = fold.configuration?.organisations[0]?.name ?? '';
+      if (event !== LogEvent.Race) {
+        expect(organisation).toBe(previousOrganisation);
       }
-      named = name;
+      previousOrganisation = organisation;
     }
   });
 });
--- a/packages/operator/src/test/publication_test.ts
+++ b/packages/operator/src/test/publication_test.ts
@@ -16,9 +16,9 @@
 import {
   configurationWith,
   LEDGER_STREAMS,
-  logInMemory,
+  createMemoryLog,
   PATIENCE,
-  settled,
+  settle,
 } from './fixtures.js';
 
 function request(
@@ -36,7 +36,10 @@
   };
 }
 
-function credited(log: MemoryLog, organisation: string): Promise<number> {
+function readCreditedTokens(
+  log: MemoryLog,
+  organisation: string,
+): Promise<number> {
   const stream = ledgerStreamOf(organisation, LEDGER_STREAMS);
   return ledgerReader(log, stream)
     .readToEnd()
@@ -45,7 +48,7 @@
 
 describe('publishConfiguration', () => {
   it('puts a configuration in force and credits opening budgets once', async () => {
-    const {clock, log} = logInMemory();
+    const {clock, log} = createMemoryLog();
     const first = await publishConfiguration(log, clock, request('p1', 0, 'a'));
     const second = await publishConfiguration(
       log,
@@ -57,8 +60,8 @@
       PublicationOutcome.Accepted,
       2,
     ]);
-    expect(await credited(log, 'a')).toBe(1_000);
-    expect(await credited(log, 'b')).toBe(1_000);
+    expect(await readCreditedTokens(log, 'a')).toBe(1_000);
+    expect(await readCreditedTokens(log, 'b')).toBe(1_000);
   });
 
   // Two operators start from version 0 and publish at the same time. Both
@@ -66,32 +69,32 @@
   // "in force" or who won; were the append's answer the verdict, both would see
   // success and one change would silently be gone.
   it('gives a race one winner and tells the loser who won', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     const other = new MemoryLog(store, clock);
     const results = await Promise.all([
       publishConfiguration(log, clock, request('p1', 0, 'a')),
       publishConfiguration(other, clock, request('p2', 0, 'b')),
     ]);
-    const of = (outcome: PublicationOutcome) =>
+    const resultsWith = (outcome: PublicationOutcome) =>
       results.filter(result => result.outcome === outcome);
-    expect(of(PublicationOutcome.Accepted)).toHaveLength(1);
-    const [loser] = of(PublicationOutcome.Overtaken);
-    const [winner] = of(PublicationOutcome.Accepted);
-    expect(loser?.version).toBe(1);
-    expect(loser?.operatorInForce).toBe(
-      `operator of ${winner?.publicationId ?? ''}`,
+    expect(resultsWith(PublicationOutcome.Accepted)).toHaveLength(1);
+    const [overtaken] = resultsWith(PublicationOutcome.Overtaken);
+    const [accepted] = resultsWith(PublicationOutcome.Accepted);
+    expect(overtaken?.version).toBe(1);
+    expect(overtaken?.operatorInForce).toBe(
+      `operator of ${accepted?.publicationId ?? ''}`,
     );
-    const lost = loser?.publicationId === 'p1' ? 'a' : 'b';
-    expect(await credited(log, lost)).toBe(0);
+    const overtakenOrganisation = overtaken?.publicationId === 'p1' ? 'a' : 'b';
+    expect(await readCreditedTokens(log, overtakenOrganisation)).toBe(0);
   });
 
   // The platform stores the record and its answer is lost, several times over.
   // The operator sees one acceptance: the publisher reads the log before it
   // appends again, and the fold ignores copies of the identifier.
   it('publishes once though answers of the log are lost', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     store.faults.loseAnswers = 3;
-    const result = await settled(
+    const result = await settle(
       clock,
       publishConfiguration(log, clock, request('p1', 0, 'a')),
     );
@@ -100,44 +103,48 @@
     );
     expect(store.endOffset(CONFIGURATION_STREAM)).toBe(1);
     expect((await readConfiguration(log)).version).toBe(1);
-    expect(await credited(log, 'a')).toBe(1_000);
+    expect(await readCreditedTokens(log, 'a')).toBe(1_000);
   });
 
   // The publisher is cut off after its append and before it read the verdict.
   // The operator is told that the fate is unknown, and repeats with the same
   // identifier; the repeat finds the verdict and changes nothing.
   it('says that the fate is unknown, and a repeat finds the verdict', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     const append = log.append.bind(log);
     log.append = async (stream, payload) => {
       const offset = await append(stream, payload);
       store.faults.outage = true;
       return offset;
     };
-    const lost = await settled(
+    const failure = await settle(
       clock,
       publishConfiguration(log, clock, request('p1', 0, 'a')),
     );
-    expect(lost).toBeInstanceOf(StepError);
-    expect((lost as StepError).fate).toBe(Fate.Unknown);
+    expect(failure).toBeInstanceOf(StepError);
+    expect((failure as StepError).fate).toBe(Fate.Unknown);
     store.faults.outage = false;
     log.append = append;
-    const found = await publishConfiguration(log, clock, request('p1', 0, 'a'));
-    expect(found.outcome).toBe(PublicationOutcome.Accepted);
-    expect(found.version).toBe(1);
-    expect(await credited(log, 'a')).toBe(1_000);
+    const repeated = await publishConfiguration(
+      log,
+      clock,
+      request('p1', 0, 'a'),
+    );
+    expect(repeated.outcome).toBe(PublicationOutcome.Accepted);
+    expect(repeated.version).toBe(1);
+    expect(await readCreditedTokens(log, 'a')).toBe(1_000);
   });
 
   // The platform is away for the whole of the operator's patience. Nothing was
   // appended, and the operator is told so: no later surprise.
   it('says that nothing was done when the log was never reached', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     store.faults.outage = true;
-    const lost = await settled(
+    const failure = await settle(
       clock,
       publishConfiguration(log, clock, request('p1', 0, 'a')),
     );
-    expect((lost as StepError).fate).toBe(Fate.NotDone);
+    expect((failure as StepError).fate).toBe(Fate.NotDone);
     expect(store.endOffset(CONFIGURATION_STREAM)).toBe(0);
   });
 
@@ -145,11 +152,11 @@
   // know. Half of it would be applied if unknown parts were skipped; the fold
   // refuses the whole, and the version before stays in force.
   it('refuses the whole of a configuration that needs a newer revision', async () => {
-    const {clock, log} = logInMemory();
+    const {clock, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
-    const newer = request('p2', 1, 'a', 'b');
-    newer.configuration.schemaRevision = SUPPORTED_SCHEMA_REVISION + 1;
-    const result = await publishConfiguration(log, clock, newer);
+    const newerRequest = request('p2', 1, 'a', 'b');
+    newerRequest.configuration.schemaRevision = SUPPORTED_SCHEMA_REVISION + 1;
+    const result = await publishConfiguration(log, clock, newerRequest);
     expect(result.outcome).toBe(PublicationOutcome.Invalid);
     expect(result.reason).toContain('schemaRevision');
     await log.append(
@@ -157,7 +164,7 @@
       toBinary(
         ConfigurationRecordSchema,
         create(ConfigurationRecordSchema, {
-          kind: {case: 'publication', value: newer},
+          kind: {case: 'publication', value: newerRequest},
         }),
       ),
     );
@@ -170,7 +177,7 @@
   // expires all older records. A fresh reader has to see version 3 and not start
   // from nothing, and a late copy of an old publication must not revert it.
   it('reads on from a checkpoint once the first records have expired', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
     const [first] = store.records(CONFIGURATION_STREAM);
     await publishConfiguration(log, clock, request('p2', 1, 'a', 'b'));
@@ -197,7 +204,7 @@
   // The first records have expired and nobody wrote a checkpoint. What is left
   // would fold to version 1 again; the operator gets an error instead.
   it('refuses to fold a stream whose start is lost', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
     store.faults.retentionRecords = 1;
     await publishConfiguration(log, clock, request('p2', 1, 'b'));
--- a/packages/operator/src/test/stranded-release_test.ts
+++ b/packages/operator/src/test/stranded-release_test.ts
@@ -8,14 +8,14 @@
   StrandedReleaseOutcome,
 } from '../stranded-release.js';
 import {topUp} from '../top-up.js';
-import {LEDGER_STREAMS, logInMemory, PATIENCE, settled} from './fixtures.js';
+import {LEDGER_STREAMS, createMemoryLog, PATIENCE, settle} from './fixtures.js';
 
 const ORGANISATION = 'kigali-bar-school';
 
 /** A budget of 500 tokens, of which a lost holder has 200. */
-async function strandedWorld() {
-  const world = logInMemory();
-  const {log, clock} = world;
+async function createStrandedGrant() {
+  const memoryLog = createMemoryLog();
+  const {log, clock} = memoryLog;
   await topUp(log, clock, {
     organisation: ORGANISATION,
     tokens: 500,
@@ -47,7 +47,7 @@
   const stream = ledgerStreamOf(ORGANISATION, LEDGER_STREAMS);
   await log.append(stream, toBinary(LedgerBatchSchema, batch));
   const release = (grantId: string) =>
-    settled(
+    settle(
       clock,
       releaseStrandedGrant(log, clock, {
         organisation: ORGANISATION,
@@ -58,7 +58,7 @@
         patience: PATIENCE,
       }),
     );
-  return {...world, release};
+  return {...memoryLog, release};
 }
 
 describe('releaseStrandedGrant', () => {
@@ -66,7 +66,7 @@
   // answer is lost, and the operator runs the line again. The tokens must come
   // back once: given back twice, the budget would be 700 tokens.
   it('gives the rest back once, whatever answers are lost', async () => {
-    const {store, release} = await strandedWorld();
+    const {store, release} = await createStrandedGrant();
     store.faults.loseAnswers = 2;
     expect(await release('g1')).toEqual({
       outcome: StrandedReleaseOutcome.Released,
@@ -79,7 +79,7 @@
   });
 
   it('appends nothing for a grant that the ledger does not know', async () => {
-    const {store, release} = await strandedWorld();
+    const {store, release} = await createStrandedGrant();
     const stream = ledgerStreamOf(ORGANISATION, LEDGER_STREAMS);
     const before = store.endOffset(stream);
     expect(await release('g2')).toMatchObject({
--- a/packages/operator/src/test/top-up_test.ts
+++ b/packages/operator/src/test/top-up_test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 
 import {topUp, TopUpOutcome, type TopUpResult} from '../top-up.js';
-import {LEDGER_STREAMS, logInMemory, PATIENCE, settled} from './fixtures.js';
+import {LEDGER_STREAMS, createMemoryLog, PATIENCE, settle} from './fixtures.js';
 
 function request(entryId: string, tokens: number) {
   return {
@@ -20,7 +20,7 @@
 
 describe('topUp', () => {
   it('credits, and says so', async () => {
-    const {clock, log} = logInMemory();
+    const {clock, log} = createMemoryLog();
     const result = await topUp(log, clock, request('invoice-1', 500));
     expect(result).toEqual({
       outcome: TopUpOutcome.Credited,
@@ -31,7 +31,7 @@
   });
 
   it.each([0, -1, 0.5, 2 ** 53])('refuses %d tokens', async tokens => {
-    const {clock, log} = logInMemory();
+    const {clock, log} = createMemoryLog();
     await expect(topUp(log, clock, request('x', tokens))).rejects.toThrow(
       RangeError,
     );
@@ -41,7 +41,7 @@
   // operator runs the same line again. A second credit would be money that
   // nobody paid. The repeat reads the log, finds the identifier, appends nothing.
   it('does nothing when repeated, and says so', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     await topUp(log, clock, request('invoice-1', 500));
     const repeat = await topUp(log, clock, request('invoice-1', 500));
     expect(repeat.outcome).toBe(TopUpOutcome.AlreadyCredited);
@@ -52,23 +52,23 @@
 
   // The log is away from the start. The operator is told that nothing was done.
   it('says that nothing was done when the log was never reached', async () => {
-    const {clock, store, log} = logInMemory();
+    const {clock, store, log} = createMemoryLog();
     store.faults.outage = true;
-    const lost = await settled(clock, topUp(log, clock, request('i', 5)));
-    expect((lost as StepError).fate).toBe(Fate.NotDone);
+    const failure = await settle(clock, topUp(log, clock, request('i', 5)));
+    expect((failure as StepError).fate).toBe(Fate.NotDone);
   });
 
   // The log can be read and refuses every append. Its refusals prove that nothing
   // stands, so the operator may use any identifier next time.
   it('says that nothing was done when every append was refused', async () => {
-    const {clock, log} = logInMemory();
+    const {clock, log} = createMemoryLog();
     log.append = () =>
       Promise.reject(
         new StepError('append', 'memory log', Fate.NotDone, 'HTTP 429'),
       );
-    const lost = await settled(clock, topUp(log, clock, request('i', 5)));
-    expect((lost as StepError).fate).toBe(Fate.NotDone);
-    expect((lost as StepError).reason).toBe('HTTP 429');
+    const failure = await settle(clock, topUp(log, clock, request('i', 5)));
+    expect((failure as StepError).fate).toBe(Fate.NotDone);
+    expect((failure as StepError).reason).toBe('HTTP 429');
   });
 
   // Any number of answers is lost, in runs that are repeated until one of them
@@ -76,21 +76,24 @@
   property.prop([fc.array(fc.integer({min: 0, max: 4}), {maxLength: 6})], {
     seed: 7,
     numRuns: 50,
-  })('credits each identifier once, whatever is lost', async losses => {
-    const {clock, store, log} = logInMemory();
-    for (const [index, loseAnswers] of losses.entries()) {
-      store.faults.loseAnswers = loseAnswers;
-      const line = request(`invoice-${index}`, 100);
-      const outcomes = [
-        await settled(clock, topUp(log, clock, line)),
-        await settled(clock, topUp(log, clock, line)),
-      ];
-      expect(outcomes.map(outcome => (outcome as TopUpResult).outcome)).toEqual(
-        [TopUpOutcome.Credited, TopUpOutcome.AlreadyCredited],
-      );
-    }
-    store.faults.loseAnswers = 0;
-    const last = await topUp(log, clock, request('last', 1));
-    expect(last.creditedTokens).toBe(losses.length * 100 + 1);
-  });
+  })(
+    'credits each identifier once, whatever is lost',
+    async lostResponseCounts => {
+      const {clock, store, log} = createMemoryLog();
+      for (const [index, loseAnswers] of lostResponseCounts.entries()) {
+        store.faults.loseAnswers = loseAnswers;
+        const repeatedRequest = request(`invoice-${index}`, 100);
+        const outcomes = [
+          await settle(clock, topUp(log, clock, repeatedRequest)),
+          await settle(clock, topUp(log, clock, repeatedRequest)),
+        ];
+        expect(
+          outcomes.map(outcome => (outcome as TopUpResult).outcome),
+        ).toEqual([TopUpOutcome.Credited, TopUpOutcome.AlreadyCredited]);
+      }
+      store.faults.loseAnswers = 0;
+      const last = await topUp(log, clock, request('last', 1));
+      expect(last.creditedTokens).toBe(lostResponseCounts.length * 100 + 1);
+    },
+  );
 });
--- a/packages/operator/src/top-up.ts
+++ b/packages/operator/src/top-up.ts
@@ -63,8 +63,8 @@
   const stream = ledgerStreamOf(organisation, request.ledgerStreams);
   const reader = ledgerReader(log, stream);
   const isDecided = (fold: LedgerFold) => fold.hasSeen(organisation, entryId);
-  const before = await reader.readToEnd();
-  const stoodBefore = isDecided(before);
+  const initialFold = await reader.readToEnd();
+  const wasCreditedBefore = isDecided(initialFold);
   await appendUntilDecided({
     log,
     clock,
@@ -79,7 +79,9 @@
   });
   const {creditedTokens, unallocatedTokens} = reader.fold.totals(organisation);
   return {
-    outcome: stoodBefore ? TopUpOutcome.AlreadyCredited : TopUpOutcome.Credited,
+    outcome: wasCreditedBefore
+      ? TopUpOutcome.AlreadyCredited
+      : TopUpOutcome.Credited,
     entryId,
     creditedTokens,
     unallocatedTokens,
