--- a/packages/operator/python/example_fleet.py
+++ b/packages/operator/python/example_fleet.py
@@ -1,4 +1,8 @@
-"""The fleet of the tests: `python3 example_fleet.py > example_fleet.golden.json`."""
+"""Prints an example fleet, which a test compares with the TypeScript library.
+
+To update its golden file:
+`python3 example_fleet.py > example_fleet.golden.json`.
+"""
 
 import sys
 
--- a/packages/operator/python/wisteriadeal.py
+++ b/packages/operator/python/wisteriadeal.py
@@ -1,8 +1,8 @@
-"""Prints a checked wisteriadeal configuration. Standard library only.
+"""Builds and prints a wisteriadeal configuration, with the standard library only.
 
-Every line is checked when it runs, against the committed JSON Schema and the
-references between items, so a mistake raises where it was made. The rules that
-are left are judged by ``wisteriadeal check``.
+Each call is validated against the committed JSON Schema and the references
+between items, so an invalid call raises at its own line in the operator's
+program. ``wisteriadeal check`` validates the remaining rules.
 
     fleet = ConfigurationBuilder()
     tutor = fleet.model_service(
@@ -34,21 +34,32 @@
 
 
 class BudgetPreference(enum.Enum):
-    """What an organisation prefers where a failure leaves a choice of harms."""
+    """Which effect of a failure an organisation prefers to avoid.
+
+    AVOID_REFUSALS uses larger grants, and a host without a witness continues,
+    at the risk of bills that charge the reserved bound without details.
+    AVOID_UNCLEAR_BILLS uses smaller grants, and a host without a witness writes
+    each reservation to the log first or refuses the request.
+    """
 
     AVOID_REFUSALS = "BUDGET_PREFERENCE_AVOID_REFUSALS"
     AVOID_UNCLEAR_BILLS = "BUDGET_PREFERENCE_AVOID_UNCLEAR_BILLS"
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint gets new work."""
+    """Whether an endpoint receives new requests."""
 
     ACTIVE = "ENDPOINT_STATE_ACTIVE"
     LEAVING = "ENDPOINT_STATE_LEAVING"
 
 
 class ConfigurationError(ValueError):
-    """A mistake: the key that is wrong, and what was expected there."""
+    """Raised for invalid input.
+
+    Attributes:
+        key: Path of the invalid key, such as ``endpoints[3].slots``.
+        expected: What was expected for that key.
+    """
 
     def __init__(self, key, expected):
         super().__init__(f"{key}: expected {expected}")
@@ -57,18 +68,22 @@
 
 
 def hash_credential(secret):
-    """Returns the hash under which a configuration holds a secret."""
+    """Returns the SHA-256 of a secret, in hexadecimal, as configurations contain it."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def mint_credential():
-    """Returns a new secret and the hash for the configuration."""
+    """Returns a new secret of 192 random bits and its hash for the configuration."""
     secret = secrets.token_urlsafe(24)
     return secret, hash_credential(secret)
 
 
 def caller(name, secret=None, credential_sha256=None):
-    """Describes a caller by its secret or by the secret's SHA-256."""
+    """Describes a caller by its secret or by the secret's SHA-256 in hexadecimal.
+
+    Raises ConfigurationError if the secret has fewer than 16 characters: the
+    configuration contains its hash, from which it could be guessed.
+    """
     if secret is not None:
         if len(secret) < MINIMUM_SECRET_LENGTH:
             expected = f"at least {MINIMUM_SECRET_LENGTH} characters"
@@ -79,7 +94,12 @@
 
 def model(name, maximum_output_tokens, default_output_tokens=None,
           minimum_bytes_per_prompt_token=1):
-    """Describes a model of a service."""
+    """Describes a model of a service.
+
+    The default output limit of a request is 256 tokens, or the model's maximum
+    if that is lower. A prompt token covers at least
+    ``minimum_bytes_per_prompt_token`` bytes; 1 is always safe.
+    """
     if default_output_tokens is None:
         default_output_tokens = min(DEFAULT_OUTPUT_TOKENS, maximum_output_tokens)
     return {
@@ -91,7 +111,11 @@
 
 
 def call(name, method, path, idempotent, tokens, outcome_path=""):
-    """Describes one call of a plain service."""
+    """Describes one call of a plain service; its price is in tokens.
+
+    ``outcome_path`` returns the outcome of an earlier call, named by the query
+    parameter ``requestId``.
+    """
     return {
         "name": name,
         "method": method,
@@ -113,7 +137,10 @@
 
 
 def check_value(value, schema, root, key):
-    """Compares a value with the part of JSON Schema that the export uses."""
+    """Validates a value against the subset of JSON Schema that the export uses.
+
+    Raises ConfigurationError with the path of the first invalid value.
+    """
     if "$ref" in schema:
         schema = root["$defs"][schema["$ref"].rsplit("/", 1)[1]]
     kind = schema["type"]
@@ -132,12 +159,12 @@
         check_value(item, schema["items"], root, f"{key}[{index}]")
     for name, item in value.items() if kind == "object" else []:
         if name not in schema["properties"]:
-            raise ConfigurationError(f"{key}.{name}", "a key of the schema")
+            raise ConfigurationError(f"{key}.{name}", "a key that the schema defines")
         check_value(item, schema["properties"][name], root, f"{key}.{name}")
 
 
 class ConfigurationBuilder:
-    """Builds a configuration line by line."""
+    """Builds a configuration and validates each item when it is added."""
 
     def __init__(self):
         self._schema = json.loads(SCHEMA_FILE.read_text())
@@ -157,7 +184,7 @@
         }
 
     def limits(self, **limits):
-        """Sets limits by their JSON names; others keep their defaults."""
+        """Sets limits by their JSON names; the others keep their values."""
         merged = {**self._configuration["limits"], **limits}
         check_value(merged, {"$ref": "#/$defs/Limits"}, self._schema, "limits")
         self._configuration["limits"] = merged
@@ -203,7 +230,7 @@
         })
 
     def print(self, file=sys.stdout):
-        """Prints the configuration as JSON; it holds hashes and no secrets."""
+        """Prints the configuration as JSON; it contains hashes, no secrets."""
         json.dump(self._configuration, file, indent=2)
         file.write("\n")
 
@@ -223,7 +250,7 @@
         items.append(item)
 
     def _require_service(self, name):
-        known = [service["name"] for service in self._configuration["services"]]
-        if name not in known:
-            expected = f"one of {', '.join(known)}, not {name}"
+        defined = [service["name"] for service in self._configuration["services"]]
+        if name not in defined:
+            expected = f"one of {', '.join(defined)}, not {name}"
             raise ConfigurationError("service", expected)
--- a/packages/operator/src/configuration-builder.ts
+++ b/packages/operator/src/configuration-builder.ts
@@ -47,7 +47,7 @@
 const DEFAULT_OUTPUT_TOKENS = 256;
 const MINIMUM_SECRET_LENGTH = 16;
 
-/** The public methods whose call site an error names. */
+/** The public methods whose call site `ConfigurationError.callSite` reports. */
 type BuilderMethod =
   'limits' | 'modelService' | 'plainService' | 'endpoint' | 'organisation';
 
@@ -58,7 +58,8 @@
 ): void {
   const [firstMistake] = mistakes;
   if (firstMistake !== undefined) {
-    // The method itself, and not a bound copy, is what a stack trace knows.
+    // Error.captureStackTrace only finds the method itself in the stack, not a
+    // bound copy of it.
     const builderMethod: StackBase = Reflect.get(
       ConfigurationBuilder.prototype,
       method,
@@ -68,14 +69,14 @@
 }
 
 /**
- * The hash stands in a configuration that many read: a short secret could be
- * found by hashing guesses.
+ * Rejects short secrets. The configuration contains their hashes and is widely
+ * readable, so a short secret could be recovered by hashing guesses.
  */
 function checkSecretLengths(
   callers: readonly CallerOptions[],
   path: Path,
 ): readonly ConfigurationMistake[] {
-  const message = `expected a secret of at least ${MINIMUM_SECRET_LENGTH} characters, such as mintCredential() makes`;
+  const message = `expected a secret of at least ${MINIMUM_SECRET_LENGTH} characters, such as one from mintCredential()`;
   return callers.flatMap((caller, index) =>
     'secret' in caller && caller.secret.length < MINIMUM_SECRET_LENGTH
       ? [{path: [...path, 'callers', index, 'secret'], message}]
@@ -90,8 +91,8 @@
 }
 
 /**
- * Builds a configuration line by line. Every line is checked when it runs, so a
- * mistake throws there.
+ * Builds a configuration. Each method validates what it adds, so an invalid
+ * call throws at its own line in the operator's program.
  *
  * @example
  * ```ts
@@ -120,9 +121,10 @@
     );
 
   /**
-   * Sets limits; what is left out keeps its default.
+   * Sets limits. A limit that is left out keeps its value: its default, or what
+   * an earlier call set.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if a limit is invalid.
    */
   limits(options: LimitOptions): void {
     const limits = create(LimitsSchema, {
@@ -135,9 +137,11 @@
   }
 
   /**
-   * Defines a service of model engines, and its models.
+   * Defines a service of model engines and its models.
    *
-   * @throws ConfigurationError
+   * @returns A reference for `endpoint` and `organisation`.
+   * @throws ConfigurationError if the service or one of its models is invalid,
+   *     or if a name is already used.
    */
   modelService(name: string, options: ModelServiceOptions): ServiceReference {
     const models = options.models.map(model => model.name);
@@ -162,7 +166,9 @@
   /**
    * Defines a plain service and the calls it offers.
    *
-   * @throws ConfigurationError
+   * @returns A reference for `endpoint` and `organisation`.
+   * @throws ConfigurationError if the service is invalid or its name is already
+   *     used.
    */
   plainService(name: string, options: PlainServiceOptions): ServiceReference {
     const item = create(ServiceSchema, {
@@ -178,7 +184,8 @@
   /**
    * Defines an endpoint of a service.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if the endpoint is invalid, its name is already
+   *     used, or this builder has no such service.
    */
   endpoint(name: string, options: EndpointOptions): void {
     const item = create(EndpointSchema, {
@@ -196,7 +203,9 @@
   /**
    * Defines an organisation with its budget and callers.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if the organisation is invalid, its name or a
+   *     credential is already used, a secret is too short, or this builder has
+   *     no such service.
    */
   organisation(name: string, options: OrganisationOptions): void {
     const subject = `organisation "${name}"`;
@@ -231,7 +240,10 @@
     );
   }
 
-  /** References may come from elsewhere; only what this fleet has counts. */
+  /**
+   * Drops references to services that this builder has not defined, such as
+   * those of another builder.
+   */
   private definedServices(
     references: readonly ServiceReference[],
   ): readonly ServiceReference[] {
@@ -263,15 +275,16 @@
     items.push(line.item);
   }
 
-  /** The configuration so far; later lines don't change it. */
+  /** Returns a copy of the configuration; later calls don't change it. */
   build(): Configuration {
     return structuredClone(this.configuration);
   }
 
   /**
-   * Prints the configuration as JSON; it holds hashes and no secrets.
+   * Prints the configuration as JSON. It contains credential hashes, no
+   * secrets.
    *
-   * @param write Takes the text; standard output by default.
+   * @param write Receives the text; writes to standard output by default.
    */
   print(
     write: (text: string) => void = text => process.stdout.write(text),
--- a/packages/operator/src/configuration-difference.ts
+++ b/packages/operator/src/configuration-difference.ts
@@ -1,7 +1,7 @@
 import {toJson} from '@bufbuild/protobuf';
 import {ConfigurationSchema, type Configuration} from '@wisteriadeal/schema';
 
-/** What a publication does to one item. */
+/** How an item differs between two configurations. */
 export enum ChangeKind {
   Added = 'added',
   Removed = 'removed',
@@ -11,9 +11,12 @@
 /** One item that differs between two configurations. */
 export interface ConfigurationChange {
   readonly kind: ChangeKind;
-  /** Such as `organisations kigali-bar-school` or `limits`. */
+  /** List and name, such as `organisations kigali-bar-school`, or `limits`. */
   readonly item: string;
-  /** For a changed item: each key with its values before and after, as JSON. */
+  /**
+   * For a changed item, one line per changed key with its old and new value as
+   * JSON; otherwise empty.
+   */
   readonly details: readonly string[];
 }
 
@@ -54,9 +57,10 @@
 }
 
 /**
- * Compares two configurations item by item, whatever the order of their lists.
+ * Compares two configurations item by item, regardless of the order of their
+ * lists.
  *
- * @param before Undefined where none is in force.
+ * @param before The configuration in force; undefined if there is none.
  * @example
  * ```ts
  * configurationDifference(fold.configuration, fleet.build()).map(formatChange);
@@ -92,7 +96,7 @@
   [ChangeKind.Changed]: '~',
 };
 
-/** Prints a change as lines of text. */
+/** Formats a change as one or more lines of text. */
 export function formatChange(change: ConfigurationChange): string {
   return [
     `${CHANGE_SIGNS[change.kind]} ${change.item}`,
--- a/packages/operator/src/configuration-error.ts
+++ b/packages/operator/src/configuration-error.ts
@@ -1,33 +1,36 @@
 import {formatPath, type Path} from './configuration-problem.js';
 
-/** The function below which a stack trace starts. */
+/** The function whose caller is the first frame of a captured stack trace. */
 export type StackBase = (...values: never[]) => unknown;
 
-/** What is wrong, and where. */
+/** One validation failure. */
 export interface ConfigurationMistake {
-  /** Where it stands, such as `['organisations', 0, 'weight']`. */
+  /** The invalid value's path, such as `['organisations', 0, 'weight']`. */
   readonly path: Path;
-  /** What was expected, as a sentence without its full stop. */
+  /** What was expected, without a final full stop. */
   readonly message: string;
 }
 
 /**
- * A mistake in a configuration, thrown by the line that made it: the stack
- * starts at the operator's call of the builder and not inside the library.
+ * Thrown by a builder method for invalid input. The stack trace starts at the
+ * operator's call of that method, not inside the library.
  */
 export class ConfigurationError extends Error {
   override readonly name: string = 'ConfigurationError';
-  /** The key that is wrong, such as `endpoints[3].address`. */
+  /** Path of the invalid key, such as `endpoints[3].address`. */
   readonly key: string;
-  /** What was expected there. */
+  /** What was expected for that key. */
   readonly expected: string;
-  /** File, line and column of the builder's call. */
+  /**
+   * File, line and column of the operator's call, such as `fleet.ts:12:3`;
+   * empty if the stack trace has no frame.
+   */
   readonly callSite: string;
 
   /**
-   * @param mistake What is wrong.
-   * @param subject The thing that the line defines, such as `endpoint "tutor-1"`.
-   * @param calledMethod The builder's method that the operator called.
+   * @param mistake The validation failure.
+   * @param subject What the call defines, such as `endpoint "tutor-1"`.
+   * @param calledMethod The builder method that the operator called.
    */
   constructor(
     mistake: ConfigurationMistake,
--- a/packages/operator/src/configuration-options.ts
+++ b/packages/operator/src/configuration-options.ts
@@ -1,6 +1,6 @@
 import type {BudgetPreference, EndpointState} from '@wisteriadeal/schema';
 
-/** A service that the builder has defined. */
+/** A reference to a service, as the builder's methods return it. */
 export interface ServiceReference {
   readonly name: string;
 }
@@ -8,11 +8,17 @@
 /** A model of a service. */
 export interface ModelOptions {
   readonly name: string;
-  /** The most tokens one answer may have. */
+  /** Maximum number of tokens in one answer. */
   readonly maximumOutputTokens: number;
-  /** Where the caller names no maximum; 256, or the maximum if lower. */
+  /**
+   * Output token limit of a request that sets none. Defaults to 256, or to
+   * `maximumOutputTokens` if that is lower.
+   */
   readonly defaultOutputTokens?: number;
-  /** Each prompt token covers at least this many bytes; 1 is always safe. */
+  /**
+   * Lower bound of the prompt bytes that one prompt token covers. Defaults to
+   * 1, which is always safe.
+   */
   readonly minimumBytesPerPromptToken?: number;
 }
 
@@ -25,13 +31,16 @@
 export interface CallOptions {
   readonly name: string;
   readonly method: 'GET' | 'POST' | 'PUT' | 'PATCH' | 'DELETE';
-  /** Path at the endpoint, starting with a slash. */
+  /** Path on the endpoint, starting with a slash. */
   readonly path: string;
-  /** True where running the call twice has the effect of running it once. */
+  /** Whether running the call twice has the same effect as running it once. */
   readonly idempotent: boolean;
-  /** Price of one call. */
+  /** Price of one call, in tokens. */
   readonly tokens: number;
-  /** Tells the outcome of an earlier call by `?requestId=`. */
+  /**
+   * Path that returns the outcome of an earlier call, named by the query
+   * parameter `requestId`. Leave it out if the service has none.
+   */
   readonly outcomePath?: string;
 }
 
@@ -44,39 +53,49 @@
 export interface EndpointOptions {
   readonly service: ServiceReference;
   readonly dataCenter: string;
-  /** `IP:port`. */
+  /** IP address and port, such as `10.0.0.7:8000`. */
   readonly address: string;
-  /** Requests it works on at once. */
+  /** Number of requests that the endpoint processes concurrently. */
   readonly slots: number;
-  /** True where it refuses an order with an old fencing number; false by default. */
+  /**
+   * Whether the endpoint rejects an order with an outdated fencing number;
+   * defaults to false.
+   */
   readonly checksFencingNumbers?: boolean;
-  /** Active by default. */
+  /** Defaults to `ACTIVE`. */
   readonly state?: EndpointState;
 }
 
-/** A caller, by its secret or by the secret's SHA-256. */
+/** A caller with its secret, or with the hexadecimal SHA-256 hash of it. */
 export type CallerOptions =
   | {readonly name: string; readonly secret: string}
   | {readonly name: string; readonly credentialSha256: string};
 
 /** An organisation. */
 export interface OrganisationOptions {
-  /** Credited once, when the organisation first appears. */
+  /**
+   * Tokens credited once, when a configuration with this organisation is first
+   * accepted.
+   */
   readonly openingBudgetTokens: number;
   readonly callers: readonly CallerOptions[];
-  /** The services that it may reach. */
+  /** The services that the organisation may call. */
   readonly services: readonly ServiceReference[];
-  /** Share under contention; 1 by default. */
+  /**
+   * Share of the fleet under contention, relative to other organisations;
+   * defaults to 1.
+   */
   readonly weight?: number;
-  /** Clear books by default. */
+  /** Defaults to `AVOID_UNCLEAR_BILLS`. */
   readonly budgetPreference?: BudgetPreference;
 }
 
-/** Limits for all callers; each has a default. */
+/** Limits that apply to all callers; each has a default. */
 export interface LimitOptions {
   readonly maximumBodyBytes?: number;
   readonly requestReceiveTimeoutMilliseconds?: number;
   readonly interactiveDeadlineMilliseconds?: number;
   readonly batchDeadlineMilliseconds?: number;
+  /** How long an answer is kept for a retry of the same request. */
   readonly keptAnswerMilliseconds?: number;
 }
--- a/packages/operator/src/configuration-problem.ts
+++ b/packages/operator/src/configuration-problem.ts
@@ -1,8 +1,8 @@
-/** Keys and list positions from the root to a value. */
+/** Keys and list indexes that lead from the root to a value. */
 export type Path = readonly (string | number)[];
 
 /**
- * Prints a path as operators write it.
+ * Formats a path with dots and brackets.
  *
  * @example
  * ```ts
--- a/packages/operator/src/confirmed-append.ts
+++ b/packages/operator/src/confirmed-append.ts
@@ -7,43 +7,50 @@
 
 import type {StreamReader} from './stream-reader.js';
 
-/** How long an operator's append may take in all. */
+/** Retry limits of an operator's append. */
 export interface AppendPatience {
-  /** After this the fate is reported as it is known. */
+  /**
+   * Time after which no further attempt starts and the append fails with the
+   * fate known by then.
+   */
   readonly limitMilliseconds: number;
-  /** Pause after an answer of the log that failed. */
+  /** Delay before the next attempt. */
   readonly retryMilliseconds: number;
 }
 
-/** Waits out a short outage of the platform; a longer one is reported. */
+/**
+ * Retries through a short outage of the platform; one that outlasts the limit
+ * is reported.
+ */
 export const DEFAULT_PATIENCE: AppendPatience = {
   limitMilliseconds: 30_000,
   retryMilliseconds: 500,
 };
 
-/** One append that is repeated until its record was read back. */
+/** An append that is retried until its record has been read back. */
 export interface ConfirmedAppend<Fold extends {readonly nextOffset: number}> {
   readonly log: LogClient;
   readonly clock: Clock;
   readonly reader: StreamReader<Fold>;
   readonly payload: Uint8Array;
   readonly patience: AppendPatience;
-  /** Whether the fold has decided about the record. */
+  /** Whether the fold has applied or rejected the record. */
   readonly isDecided: (fold: Fold) => boolean;
 }
 
 /**
- * Appends a record and reads on until the fold has decided about it.
+ * Appends a record and reads the stream until the fold has decided on it.
  *
- * The answer of an append can be lost after the record was stored. Taken for a
- * failure, an operator would repeat a top-up under a new identifier and credit it
- * twice; taken for success, a publication would be reported that nobody has. So
- * the answer decides nothing: the stream is read to its end, and only where the
- * record is still absent is the same record appended again. Both copies may
- * come to stand; the fold ignores the second, since the identifier is the same.
+ * The response to an append can be lost after the record was stored. If that
+ * counted as a failure, an operator would repeat a top-up under a new
+ * identifier and credit it twice. If it counted as a success, a publication
+ * could be reported although it was never stored. The result therefore never
+ * depends on the response: the stream is read to its end, and the same record
+ * is appended again only if it is still absent. Both copies may be stored; the
+ * fold ignores the second one because it has the same identifier.
  *
- * @throws StepError with fate Unknown where the limit passed and an append may
- *     stand; NotDone where certainly none does.
+ * @throws StepError when the time limit has passed, with fate Unknown if a
+ *     record may have been stored and NotDone if certainly none was.
  */
 export async function appendUntilDecided<
   Fold extends {readonly nextOffset: number},
--- a/packages/operator/src/credential.ts
+++ b/packages/operator/src/credential.ts
@@ -2,16 +2,17 @@
 
 const SECRET_BYTES = 24;
 
-/** A secret and the hash that a configuration holds in its place. */
+/** A generated secret and the hash that the configuration contains for it. */
 export interface MintedCredential {
-  /** Goes to the caller, who sends it as `Authorization: Bearer SECRET`. */
+  /** For the caller, which sends it as `Authorization: Bearer SECRET`. */
   readonly secret: string;
-  /** Goes into the configuration. */
+  /** For the configuration: the secret's SHA-256 hash, in hexadecimal. */
   readonly credentialSha256: string;
 }
 
 /**
- * The hash under which a configuration holds a secret.
+ * Returns the hash that a configuration contains for a secret: its SHA-256, in
+ * hexadecimal.
  *
  * @example
  * ```ts
@@ -23,8 +24,9 @@
 }
 
 /**
- * Mints a secret of 192 random bits. A plain SHA-256 is enough for it: a secret
- * of that size can't be guessed from its hash, whereas a password could.
+ * Generates a secret of 192 random bits. A plain SHA-256 protects it well
+ * enough: unlike a password, a secret of that size can't be found from its hash
+ * by guessing.
  *
  * @example
  * ```ts
--- a/packages/operator/src/fold-sources.ts
+++ b/packages/operator/src/fold-sources.ts
@@ -12,7 +12,7 @@
 /** Name of the stream on which configurations are published. */
 export const CONFIGURATION_STREAM = 'configuration';
 
-/** Folds the stream `configuration`. */
+/** Folds the stream `configuration` into a `ConfigurationFold`. */
 export class ConfigurationFoldSource extends FoldSource<ConfigurationFold> {
   override empty(): ConfigurationFold {
     return new ConfigurationFold();
@@ -43,7 +43,7 @@
   return undefined;
 }
 
-/** Folds a stream `ledger-N`. */
+/** Folds a ledger stream, `ledger-N`, into a `LedgerFold`. */
 export class LedgerFoldSource extends FoldSource<LedgerFold> {
   override empty(): LedgerFold {
     return new LedgerFold();
@@ -62,7 +62,7 @@
 }
 
 /**
- * A reader of the stream `configuration`.
+ * Creates a reader of the stream `configuration`.
  *
  * @example
  * ```ts
@@ -80,7 +80,7 @@
 }
 
 /**
- * A reader of a ledger stream.
+ * Creates a reader of a ledger stream.
  *
  * @example
  * ```ts
--- a/packages/operator/src/index.ts
+++ b/packages/operator/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Library with which operators print a configuration, publish it and top up
- * budgets.
+ * Library for operators' programs: builds, prints and publishes configurations,
+ * tops up budgets and releases stranded grants.
  */
 export * from './configuration-builder.js';
 export * from './configuration-difference.js';
--- a/packages/operator/src/json-schema.ts
+++ b/packages/operator/src/json-schema.ts
@@ -24,7 +24,9 @@
     case ScalarType.DOUBLE:
       return {type: 'number', minimum: 0};
     default:
-      throw new Error(`no JSON form is agreed for ${ScalarType[scalar]}`);
+      throw new Error(
+        `the JSON Schema export does not support the scalar type ${ScalarType[scalar]}`,
+      );
   }
 }
 
@@ -61,7 +63,9 @@
     case 'list':
       return {type: 'array', items: itemSchema(field)};
     case 'map':
-      throw new Error(`no JSON form is agreed for the map ${field.name}`);
+      throw new Error(
+        `the JSON Schema export does not support the map field ${field.name}`,
+      );
   }
 }
 
@@ -91,10 +95,12 @@
 }
 
 /**
- * The JSON Schema of a message, from the generated descriptors: the contract for
- * a library in another language. References, ranges and required keys beyond it
- * are judged by `wisteriadeal check`.
+ * Returns the JSON Schema of a message, from its generated descriptor.
+ * Libraries in other languages validate against it. It doesn't cover references
+ * between items, required keys, or ranges narrower than the field's type;
+ * `wisteriadeal check` does.
  *
+ * @throws Error if the message has a field of an unsupported type.
  * @example
  * ```ts
  * const schema = toJsonSchema(ConfigurationSchema);
--- a/packages/operator/src/ledger-payload.ts
+++ b/packages/operator/src/ledger-payload.ts
@@ -1,7 +1,7 @@
 import {create, toBinary, type MessageInitShape} from '@bufbuild/protobuf';
 import {LedgerBatchSchema, type LedgerEntrySchema} from '@wisteriadeal/schema';
 
-/** A record that holds one entry written by an operator. */
+/** Encodes a ledger record with one entry, written by an operator. */
 export function operatorRecord(
   operator: string,
   entry: MessageInitShape<typeof LedgerEntrySchema>,
--- a/packages/operator/src/line-check.ts
+++ b/packages/operator/src/line-check.ts
@@ -15,7 +15,7 @@
 /** The lists of a configuration. */
 export type ListName = 'models' | 'services' | 'endpoints' | 'organisations';
 
-/** One item together with what it refers to. */
+/** One configuration item and the items that it refers to. */
 export interface Line<Name extends ListName> {
   readonly list: Name;
   readonly item: Configuration[Name][number];
@@ -25,19 +25,21 @@
 }
 
 /**
- * Checks items one by one by the rules of the fold, which is the only judge of a
- * configuration. Each item is validated alone with stubs of what it refers to:
- * validating the whole after each line would grow with the square of a fleet's
- * thousands of endpoints. Uniqueness, which needs the others, is kept here.
+ * Validates items one at a time with the rules of the fold, which alone decides
+ * whether a published configuration is valid. Each item is validated alone,
+ * with stubs of the items it refers to: validating the whole configuration
+ * after each call would take time quadratic in the number of endpoints, which
+ * is in the thousands. Uniqueness depends on earlier items and is checked here.
  */
 export class LineCheck {
   private readonly names = new Set<string>();
   private readonly credentials = new Map<string, string>();
 
   /**
-   * Checks an item and remembers its name.
+   * Validates an item and registers its name.
    *
-   * @param index The item's position in the whole configuration.
+   * @param index The item's index in its list of the whole configuration.
+   * @returns The failures; empty if the item is valid.
    */
   check<Name extends ListName>(
     line: Line<Name>,
@@ -63,8 +65,10 @@
   }
 
   /**
-   * Refuses a credential that was given to another caller: it could not say
-   * whose request it comes with.
+   * Registers a credential, or rejects it if another caller has it: a request
+   * with a shared credential could not be attributed to one caller.
+   *
+   * @param owner Organisation and caller, such as `kigali-bar-school/app`.
    */
   credential(
     owner: string,
@@ -84,7 +88,7 @@
     return [];
   }
 
-  /** Whether an item of that name passed its check. */
+  /** Whether `check` has registered an item of that name. */
   has(list: ListName, name: string): boolean {
     return this.names.has(`${list} ${name}`);
   }
--- a/packages/operator/src/opening-budgets.ts
+++ b/packages/operator/src/opening-budgets.ts
@@ -11,12 +11,13 @@
 import {appendUntilDecided, type AppendPatience} from './confirmed-append.js';
 import {ledgerReader} from './fold-sources.js';
 
-/** Entries of one record: about 30 KB, well below a log's usual record limit. */
+/** Entries per record: about 30 KB, well below a log's usual record limit. */
 const ENTRIES_PER_RECORD = 250;
 
-/** Where opening budgets are credited. */
+/** Organisations whose opening budgets are credited, and how. */
 export interface OpeningBudgets {
   readonly operator: string;
+  /** Number of ledger streams of the fleet. */
   readonly ledgerStreams: number;
   readonly organisations: readonly Organisation[];
   readonly patience: AppendPatience;
@@ -85,10 +86,10 @@
 
 /**
  * Credits the opening budgets of organisations that are new in a configuration.
- * Keepers do the same where they find one missing; the entry's identifier makes
- * it once, whoever comes first.
+ * Keepers also credit an opening budget that they find missing. Both use the
+ * same entry identifier, so each is credited once, whichever appends first.
  *
- * @throws StepError where a stream can't be appended to; repeat it then.
+ * @throws StepError if a stream can't be appended to; it is safe to repeat.
  */
 export async function creditOpeningBudgets(
   log: LogClient,
--- a/packages/operator/src/publication.ts
+++ b/packages/operator/src/publication.ts
@@ -24,12 +24,18 @@
 import {configurationReader, CONFIGURATION_STREAM} from './fold-sources.js';
 import {creditOpeningBudgets} from './opening-budgets.js';
 
-/** A configuration that an operator wants in force. */
+/** A configuration that an operator publishes. */
 export interface PublicationRequest {
   readonly configuration: Configuration;
-  /** Minted once by the operator; a repeat with it publishes nothing twice. */
+  /**
+   * Generated once by the operator. A repeat with the same identifier doesn't
+   * publish the configuration twice.
+   */
   readonly publicationId: string;
-  /** The version that the operator saw when deciding. */
+  /**
+   * The version in force that the configuration is based on. The publication is
+   * rejected if another version is in force.
+   */
   readonly baseVersion: number;
   readonly operator: string;
   /** Number of ledger streams of the fleet. */
@@ -37,24 +43,33 @@
   readonly patience?: AppendPatience;
 }
 
-/** What the fold decided. */
+/** The fold's decision on a publication. */
 export enum PublicationOutcome {
-  /** In force as `version`. */
+  /** The configuration is in force as `version`. */
   Accepted = 'accepted',
-  /** Another publication came first; `version` is in force. */
+  /** Another publication was accepted first; `version` is in force. */
   Overtaken = 'overtaken',
-  /** It is not valid. */
+  /** The configuration is invalid. */
   Invalid = 'invalid',
 }
 
-/** The verdict on a publication, as every reader of the log reaches it. */
+/**
+ * The verdict on a publication; every reader of the log computes the same one.
+ */
 export interface PublicationResult {
   readonly outcome: PublicationOutcome;
   readonly publicationId: string;
-  /** The version in force by the verdict. */
+  /**
+   * The version in force after the verdict; the base version if the
+   * configuration was invalid and never appended.
+   */
   readonly version: number;
+  /** Why the publication was rejected; empty if it was accepted. */
   readonly reason: string;
-  /** Who published the version in force; known while it is remembered. */
+  /**
+   * The operator who published the version in force; empty if the fold no
+   * longer keeps that verdict.
+   */
   readonly operatorInForce: string;
 }
 
@@ -75,7 +90,10 @@
   );
 }
 
-/** Tells who published a version, from the verdicts that are remembered. */
+/**
+ * Returns the operator who published a version; empty if the fold no longer
+ * keeps that verdict.
+ */
 export function operatorOf(fold: ConfigurationFold, version: number): string {
   return (
     fold
@@ -103,7 +121,11 @@
   };
 }
 
-/** Why an invalid configuration is not even appended; undefined where valid. */
+/**
+ * Validates a configuration before it is appended.
+ *
+ * @returns The result for an invalid configuration; undefined if it is valid.
+ */
 function validateBeforeAppend(
   request: PublicationRequest,
 ): PublicationResult | undefined {
@@ -120,9 +142,10 @@
 }
 
 /**
- * Organisations whose opening budget needs no look at their ledger stream. A
- * repeated publication takes nothing for known: the first try may have been cut
- * off between its acceptance and the opening budgets.
+ * Returns the organisations of the configuration in force, whose opening
+ * budgets need no check of their ledger streams. Returns none for a repeated
+ * publication: the first attempt may have failed after its acceptance and
+ * before it credited the opening budgets.
  */
 function organisationsWithOpeningBudget(
   fold: ConfigurationFold,
@@ -134,13 +157,15 @@
 }
 
 /**
- * Publishes a configuration and reads the verdict back. Of operators who race
- * from the same base version, the first in log order wins and the others are
- * told who did; nothing of theirs is applied. Opening budgets of organisations
- * in an accepted configuration are credited before this returns.
+ * Publishes a configuration and reads the verdict back. If several operators
+ * publish from the same base version, the first in log order is accepted; the
+ * others get the outcome Overtaken with the name of its operator, and nothing
+ * of theirs is applied. Opening budgets of organisations that an accepted
+ * configuration adds are credited before this returns.
  *
- * @throws StepError with fate Unknown where the record may stand on the log and
- *     its verdict could not be read: repeat with the same `publicationId`.
+ * @throws StepError if the log can't be read or appended to. With fate Unknown,
+ *     the record may be stored in the log but its verdict could not be read:
+ *     repeat with the same `publicationId`.
  * @example
  * ```ts
  * const {version} = await readConfiguration(log);
@@ -177,10 +202,10 @@
   const verdict = reader.fold.verdict(publicationId);
   if (verdict === undefined) {
     throw new StepError(
-      'read the verdict',
+      'read the publication verdict',
       CONFIGURATION_STREAM,
       Fate.Unknown,
-      `the verdict on ${publicationId} is no longer remembered`,
+      `the fold no longer keeps the verdict on publication ${publicationId}`,
     );
   }
   if (verdict.accepted) {
@@ -197,9 +222,10 @@
 }
 
 /**
- * Reads the configuration in force.
+ * Reads the configuration in force and its version.
  *
- * @throws StepError when the log can't be read.
+ * @throws StepError if the log can't be read, or if its first records have
+ *     expired and it has no checkpoint.
  * @example
  * ```ts
  * const {version, configuration} = await readConfiguration(log);
--- a/packages/operator/src/stranded-release.ts
+++ b/packages/operator/src/stranded-release.ts
@@ -9,41 +9,46 @@
 import {ledgerReader} from './fold-sources.js';
 import {operatorRecord} from './ledger-payload.js';
 
-/** An operator's word that nobody holds a grant any more. */
+/**
+ * An operator's statement that a grant's holder and witness no longer exist.
+ */
 export interface StrandedReleaseRequest {
   readonly organisation: string;
   readonly grantId: string;
   readonly operator: string;
+  /** Why the grant is known to be lost; stored with the entry. */
   readonly reason: string;
   /** Number of ledger streams of the fleet. */
   readonly ledgerStreams: number;
   readonly patience?: AppendPatience;
 }
 
-/** What became of a release. */
+/** The result of a release. */
 export enum StrandedReleaseOutcome {
   Released = 'released',
-  /** It was closed before: nothing was released now. */
+  /** The grant was already closed; nothing was released. */
   AlreadyClosed = 'already-closed',
-  /** The ledger knows no such grant of that organisation. */
+  /** The ledger has no such grant of that organisation. */
   UnknownGrant = 'unknown-grant',
 }
 
-/** A release with the organisation's unallocated budget after it. */
+/** The outcome and the organisation's unallocated budget after it. */
 export interface StrandedReleaseResult {
   readonly outcome: StrandedReleaseOutcome;
   readonly unallocatedTokens: number;
 }
 
 /**
- * Gives back what is left of a grant whose holder and witness are destroyed.
+ * Returns the remaining tokens of a grant whose holder and witness are
+ * destroyed to the organisation's budget.
  *
- * Nothing but an operator can know that: a holder that is cut off or paused may
- * still spend, and what it spends after the release is not billed. So no process
- * ever writes this entry by itself.
+ * Only an operator can know that they are destroyed: a holder that is
+ * partitioned or paused may still spend from the grant, and what it spends
+ * after the release is not billed. No process therefore writes this entry
+ * automatically.
  *
- * @throws StepError with fate Unknown where the record may stand on the log;
- *     it is safe to repeat.
+ * @throws StepError if the log can't be read or appended to, with fate Unknown
+ *     if the record may be stored in the log; it is safe to repeat.
  * @example
  * ```ts
  * await releaseStrandedGrant(log, clock, {
--- a/packages/operator/src/stream-reader.ts
+++ b/packages/operator/src/stream-reader.ts
@@ -7,12 +7,12 @@
 
 const PAGE_RECORDS = 500;
 
-/** How the records of one kind of stream become state. */
+/** Folds the records of one kind of stream into state. */
 export abstract class FoldSource<Fold extends {readonly nextOffset: number}> {
-  /** A fold that has read nothing. */
+  /** Returns the state before the first record. */
   abstract empty(): Fold;
 
-  /** A fold from a record that is a valid checkpoint; else undefined. */
+  /** Returns the state of a valid checkpoint record; undefined for others. */
   abstract fromCheckpoint(payload: Uint8Array): Fold | undefined;
 
   /** Applies the next record. */
@@ -20,13 +20,13 @@
 }
 
 /**
- * Folds a stream from its start, or, once its first records have expired, from a
+ * Folds a stream from its start or, if its first records have expired, from a
  * checkpoint.
  *
- * The log keeps records for a limited time. A reader that folded only what is
- * left would hold another state than everybody else: an operator would be told
- * that version 2 is in force where it is 4,002. So without the first record
- * nothing is folded until a checkpoint is found.
+ * The log keeps records for a limited time. A reader that folded only the
+ * remaining ones would reach a different state than other readers; for example,
+ * it would report version 2 in force when it is 4,002. If the first record is
+ * gone, nothing is folded until a checkpoint is found.
  */
 export class StreamReader<Fold extends {readonly nextOffset: number}> {
   private currentFold: Fold;
@@ -41,7 +41,7 @@
     this.currentFold = source.empty();
   }
 
-  /** The state as far as it was read. */
+  /** The state after the records read so far. */
   get fold(): Fold {
     return this.currentFold;
   }
@@ -49,9 +49,10 @@
   /**
    * Reads and folds one page.
    *
-   * @param waitMilliseconds Waits up to this long for a new record.
-   * @returns Whether the end of the stream, as far as known, is reached.
-   * @throws StepError when the log can't be read.
+   * @param waitMilliseconds How long to wait for a new record at the end of the
+   *     stream.
+   * @returns Whether the end of the stream that the log reported is reached.
+   * @throws StepError if the log can't be read.
    */
   async readOn(
     waitMilliseconds: number,
@@ -79,10 +80,10 @@
   }
 
   /**
-   * Reads up to the end.
+   * Reads and folds all records up to the end of the stream.
    *
-   * @throws StepError when the log can't be read, or when its first records have
-   *     expired and no checkpoint is found.
+   * @throws StepError if the log can't be read, or if the first records have
+   *     expired and there is no checkpoint.
    * @example
    * ```ts
    * await reader.readToEnd();
@@ -105,9 +106,9 @@
   }
 
   /**
-   * Looks for a checkpoint whose following records are all still there. Reading
-   * goes on right behind its state: records between that and the checkpoint's own
-   * place were not folded while seeking.
+   * Looks for a checkpoint after whose state no record has expired. The next
+   * read starts at the first record that the checkpoint's state doesn't cover:
+   * records between it and the checkpoint itself were not folded while seeking.
    */
   private seekCheckpoint(page: LogPage): void {
     for (const {payload} of page.records) {
--- a/packages/operator/src/test/configuration-builder_test.ts
+++ b/packages/operator/src/test/configuration-builder_test.ts
@@ -46,7 +46,7 @@
 }
 
 describe('ConfigurationBuilder', () => {
-  it('prints a configuration that reads back the same and passes its check', () => {
+  it('prints a configuration that parses back unchanged and is valid', () => {
     const {fleet, tutor, registry} = createSmallFleet();
     fleet.organisation('kigali-bar-school', {
       openingBudgetTokens: 1_000_000,
@@ -63,7 +63,7 @@
     expect(text).toContain(hashCredential('open sesame, open sesame'));
   });
 
-  it('throws at the line of the mistake, naming key and expectation', () => {
+  it('throws at the invalid call, with the key and what was expected', () => {
     const {fleet, tutor} = createSmallFleet();
     const error = catchConfigurationError(() => {
       fleet.endpoint('tutor-2', {
@@ -80,13 +80,13 @@
   });
 
   it.each([
-    ['a service that is not defined', {services: [{name: 'tutor'}]}],
-    ['a budget that is not whole', {openingBudgetTokens: 0.5}],
+    ['an undefined service', {services: [{name: 'tutor'}]}],
+    ['a fractional budget', {openingBudgetTokens: 0.5}],
     ['a budget beyond 2^53', {openingBudgetTokens: 2 ** 53}],
-    ['a weight of nothing', {weight: 0}],
-    ['a secret that can be guessed', {callers: [{name: 'app', secret: 'x'}]}],
-    ['a wrong hash', {callers: [{name: 'app', credentialSha256: 'ABC'}]}],
-  ])('refuses %s', (_, wrong) => {
+    ['a weight of 0', {weight: 0}],
+    ['a secret that is too short', {callers: [{name: 'app', secret: 'x'}]}],
+    ['a malformed hash', {callers: [{name: 'app', credentialSha256: 'ABC'}]}],
+  ])('rejects %s', (_, wrong) => {
     const {fleet, tutor} = createSmallFleet();
     const error = catchConfigurationError(() => {
       fleet.organisation('kigali-bar-school', {
@@ -99,7 +99,7 @@
     expect(error.key).toContain(Object.keys(wrong)[0]);
   });
 
-  it('refuses a credential that another organisation has', () => {
+  it('rejects a credential of another organisation', () => {
     const {fleet, tutor} = createSmallFleet();
     const {credentialSha256} = mintCredential();
     const options = {
@@ -114,7 +114,7 @@
     expect(error.expected).toContain('not that of one/app');
   });
 
-  it('mints a secret whose hash goes into the configuration', () => {
+  it('generates a secret together with its hash', () => {
     const {secret, credentialSha256} = mintCredential();
     expect(hashCredential(secret)).toBe(credentialSha256);
     expect(secret).toHaveLength(32);
--- a/packages/operator/src/test/fixtures.ts
+++ b/packages/operator/src/test/fixtures.ts
@@ -12,14 +12,19 @@
   retryMilliseconds: 500,
 };
 
-/** A log, its faults and a clock. */
+/**
+ * Creates an in-memory log, its store with injectable faults, and a fake clock.
+ */
 export function createMemoryLog() {
   const clock = new FakeClock();
   const store = new MemoryLogStore(clock);
   return {clock, store, log: new MemoryLog(store, clock)};
 }
 
-/** Lets time pass until the promise settles; gives what it settled to. */
+/**
+ * Advances the clock, by 20 s at most, until the promise settles. Returns its
+ * value, or the error that it was rejected with.
+ */
 export async function settle<Value>(
   clock: FakeClock,
   promise: Promise<Value>,
@@ -32,10 +37,10 @@
   for (let step = 0; step < 200 && outcome === undefined; step++) {
     await clock.advance(100);
   }
-  return outcome ?? new Error('it did not settle');
+  return outcome ?? new Error('the promise did not settle');
 }
 
-/** A configuration with these organisations. */
+/** Builds a valid configuration with these organisations. */
 export function configurationWith(...organisations: string[]) {
   const fleet = new ConfigurationBuilder();
   const tutor = fleet.modelService('tutor-models', {
--- a/packages/operator/src/test/json-schema_test.ts
+++ b/packages/operator/src/test/json-schema_test.ts
@@ -22,7 +22,7 @@
     ['router', RouterSettingsSchema],
     ['keeper', KeeperSettingsSchema],
     ['command-line', CommandLineSettingsSchema],
-  ])('is what is committed for %s', (name, schema) => {
+  ])('matches the committed JSON Schema of %s', (name, schema) => {
     const committed: unknown = JSON.parse(
       fileText(`json-schema/${name}.schema.json`),
     );
@@ -31,9 +31,10 @@
 });
 
 describe('the Python library', () => {
-  // The golden file was made by `python3 example_fleet.py`; the line stands in
-  // that file. CI runs no Python, so what it printed is checked here.
-  it('prints what the TypeScript library prints for the same fleet', () => {
+  // The golden file is the output of `python3 example_fleet.py`, whose
+  // docstring has the command. CI doesn't run Python, so the golden file is
+  // compared here.
+  it('prints the same configuration as the TypeScript library', () => {
     const fleet = new ConfigurationBuilder();
     const tutor = fleet.modelService('tutor-models', {
       models: [{name: 'tutor-7b', maximumOutputTokens: 1_024}],
--- a/packages/operator/src/test/never-reverts_test.ts
+++ b/packages/operator/src/test/never-reverts_test.ts
@@ -19,21 +19,24 @@
 } from './fixtures.js';
 
 enum LogEvent {
-  /** Two operators publish from the same version at once. */
+  /** Two operators publish concurrently from the same base version. */
   Race = 'race',
-  /** Copies of all records kept come late, as after lost answers. */
-  DelayedDuplicates = 'late-copies',
-  /** The next two answers of the log are lost. */
-  LostResponses = 'lost-answers',
-  /** A checkpoint is written and everything before it expires. */
+  /**
+   * Every retained record is appended again, as by retries after lost
+   * responses.
+   */
+  DelayedDuplicates = 'delayed-duplicates',
+  /** The log's next two responses are lost. */
+  LostResponses = 'lost-responses',
+  /** A checkpoint is written and all records before it expire. */
   Expiry = 'expiry',
-  /** A record that nobody understands is appended. */
-  UndecodableRecord = 'foreign-record',
+  /** A record that can't be decoded is appended. */
+  UndecodableRecord = 'undecodable-record',
 }
 
 class PublicationScenario {
   private readonly fixture = createMemoryLog();
-  /** Publications whose operators were told that they are in force. */
+  /** Publications whose outcome was Accepted. */
   readonly acceptedPublicationIds: string[] = [];
   private publicationCount = 0;
 
@@ -106,17 +109,18 @@
 }
 
 describe('the configuration in force', () => {
-  // Races, late copies, lost answers, expired records and foreign bytes, in any
-  // order. A fresh process that reads the log after each of them must see the
-  // version rise by one with each race, and never another configuration under
-  // the same version: a venue would be served by a fleet that went back in time.
+  // Races, delayed duplicates, lost responses, expired records and undecodable
+  // records, in any order. A new process that reads the log after each of them
+  // must see the version rise by one per race and never a different
+  // configuration under the same version; otherwise the fleet would revert to
+  // an older configuration.
   it.prop(
     [fc.array(fc.constantFrom(...Object.values(LogEvent)), {maxLength: 12})],
     {
       seed: 41,
       numRuns: 60,
     },
-  )('rises by one with each race and never reverts', async events => {
+  )('rises by one version per race and never reverts', async events => {
     const scenario = new PublicationScenario();
     let raceCount = 0;
     let previousOrganisation = '';
--- a/packages/operator/src/test/publication_test.ts
+++ b/packages/operator/src/test/publication_test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('publishConfiguration', () => {
-  it('puts a configuration in force and credits opening budgets once', async () => {
+  it('publishes a configuration and credits opening budgets once', async () => {
     const {clock, log} = createMemoryLog();
     const first = await publishConfiguration(log, clock, request('p1', 0, 'a'));
     const second = await publishConfiguration(
@@ -64,11 +64,10 @@
     expect(await readCreditedTokens(log, 'b')).toBe(1_000);
   });
 
-  // Two operators start from version 0 and publish at the same time. Both
-  // appends succeed, in an order that neither chose. The operator sees either
-  // "in force" or who won; were the append's answer the verdict, both would see
-  // success and one change would silently be gone.
-  it('gives a race one winner and tells the loser who won', async () => {
+  // Two operators publish from version 0 at the same time, and both appends
+  // succeed. If the response to the append were the verdict, both would be told
+  // of success and one change would be lost without notice.
+  it('accepts one of two concurrent publications and names its operator', async () => {
     const {clock, store, log} = createMemoryLog();
     const other = new MemoryLog(store, clock);
     const results = await Promise.all([
@@ -88,10 +87,10 @@
     expect(await readCreditedTokens(log, overtakenOrganisation)).toBe(0);
   });
 
-  // The platform stores the record and its answer is lost, several times over.
-  // The operator sees one acceptance: the publisher reads the log before it
-  // appends again, and the fold ignores copies of the identifier.
-  it('publishes once though answers of the log are lost', async () => {
+  // The log stores the record and its response is lost, several times in a row.
+  // The publisher reads the log before it appends again, and the fold ignores
+  // copies with the same identifier, so there is one acceptance.
+  it('publishes once although responses of the log are lost', async () => {
     const {clock, store, log} = createMemoryLog();
     store.faults.loseAnswers = 3;
     const result = await settle(
@@ -106,10 +105,10 @@
     expect(await readCreditedTokens(log, 'a')).toBe(1_000);
   });
 
-  // The publisher is cut off after its append and before it read the verdict.
-  // The operator is told that the fate is unknown, and repeats with the same
-  // identifier; the repeat finds the verdict and changes nothing.
-  it('says that the fate is unknown, and a repeat finds the verdict', async () => {
+  // The publisher loses its connection to the log after the append, before it
+  // read the verdict. It reports fate Unknown; a repeat with the same
+  // identifier finds the verdict and changes nothing.
+  it('reports fate Unknown, and a repeat finds the verdict', async () => {
     const {clock, store, log} = createMemoryLog();
     const append = log.append.bind(log);
     log.append = async (stream, payload) => {
@@ -135,9 +134,9 @@
     expect(await readCreditedTokens(log, 'a')).toBe(1_000);
   });
 
-  // The platform is away for the whole of the operator's patience. Nothing was
-  // appended, and the operator is told so: no later surprise.
-  it('says that nothing was done when the log was never reached', async () => {
+  // The log is unreachable until the time limit. Nothing was appended, and the
+  // operator must be told so: the publication can't take effect later.
+  it('reports fate NotDone when the log was never reached', async () => {
     const {clock, store, log} = createMemoryLog();
     store.faults.outage = true;
     const failure = await settle(
@@ -148,10 +147,10 @@
     expect(store.endOffset(CONFIGURATION_STREAM)).toBe(0);
   });
 
-  // A newer library publishes something that this binary's revision does not
-  // know. Half of it would be applied if unknown parts were skipped; the fold
-  // refuses the whole, and the version before stays in force.
-  it('refuses the whole of a configuration that needs a newer revision', async () => {
+  // A newer library publishes a configuration of a schema revision that this
+  // binary doesn't support. Skipping unknown parts would apply half of it; the
+  // fold rejects all of it, and the previous version stays in force.
+  it('rejects a configuration of a newer schema revision as a whole', async () => {
     const {clock, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
     const newerRequest = request('p2', 1, 'a', 'b');
@@ -173,10 +172,11 @@
     expect(fold.configuration?.organisations).toHaveLength(1);
   });
 
-  // Three versions are published and a checkpoint is written; then the platform
-  // expires all older records. A fresh reader has to see version 3 and not start
-  // from nothing, and a late copy of an old publication must not revert it.
-  it('reads on from a checkpoint once the first records have expired', async () => {
+  // Three versions are published, a checkpoint is written, and all older
+  // records expire. A new reader must reach version 3 instead of starting from
+  // an empty state, and a delayed copy of an old publication must not revert
+  // it.
+  it('starts from a checkpoint once the first records have expired', async () => {
     const {clock, store, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
     const [first] = store.records(CONFIGURATION_STREAM);
@@ -201,9 +201,9 @@
     ]);
   });
 
-  // The first records have expired and nobody wrote a checkpoint. What is left
-  // would fold to version 1 again; the operator gets an error instead.
-  it('refuses to fold a stream whose start is lost', async () => {
+  // The first records have expired and there is no checkpoint. The remaining
+  // ones would fold to version 1 again, so reading must fail.
+  it('fails to read a stream whose first records have expired without a checkpoint', async () => {
     const {clock, store, log} = createMemoryLog();
     await publishConfiguration(log, clock, request('p1', 0, 'a'));
     store.faults.retentionRecords = 1;
--- a/packages/operator/src/test/stranded-release_test.ts
+++ b/packages/operator/src/test/stranded-release_test.ts
@@ -12,7 +12,7 @@
 
 const ORGANISATION = 'kigali-bar-school';
 
-/** A budget of 500 tokens, of which a lost holder has 200. */
+/** Creates a budget of 500 tokens, 200 of them in the grant `g1`. */
 async function createStrandedGrant() {
   const memoryLog = createMemoryLog();
   const {log, clock} = memoryLog;
@@ -62,10 +62,10 @@
 }
 
 describe('releaseStrandedGrant', () => {
-  // Holder and witness are destroyed; the operator releases the grant, the
-  // answer is lost, and the operator runs the line again. The tokens must come
-  // back once: given back twice, the budget would be 700 tokens.
-  it('gives the rest back once, whatever answers are lost', async () => {
+  // Holder and witness are destroyed. The operator releases the grant, the
+  // response is lost, and the operator runs the command again. The 200 tokens
+  // must return once; twice would make the budget 700 tokens.
+  it('returns the remaining tokens once although responses are lost', async () => {
     const {store, release} = await createStrandedGrant();
     store.faults.loseAnswers = 2;
     expect(await release('g1')).toEqual({
@@ -78,7 +78,7 @@
     });
   });
 
-  it('appends nothing for a grant that the ledger does not know', async () => {
+  it('appends nothing for a grant that is not in the ledger', async () => {
     const {store, release} = await createStrandedGrant();
     const stream = ledgerStreamOf(ORGANISATION, LEDGER_STREAMS);
     const before = store.endOffset(stream);
--- a/packages/operator/src/test/top-up_test.ts
+++ b/packages/operator/src/test/top-up_test.ts
@@ -19,7 +19,7 @@
 }
 
 describe('topUp', () => {
-  it('credits, and says so', async () => {
+  it('credits the tokens and returns the outcome Credited', async () => {
     const {clock, log} = createMemoryLog();
     const result = await topUp(log, clock, request('invoice-1', 500));
     expect(result).toEqual({
@@ -30,17 +30,17 @@
     });
   });
 
-  it.each([0, -1, 0.5, 2 ** 53])('refuses %d tokens', async tokens => {
+  it.each([0, -1, 0.5, 2 ** 53])('rejects %d tokens', async tokens => {
     const {clock, log} = createMemoryLog();
     await expect(topUp(log, clock, request('x', tokens))).rejects.toThrow(
       RangeError,
     );
   });
 
-  // The operator's terminal shows nothing, since the answer was lost; the
-  // operator runs the same line again. A second credit would be money that
-  // nobody paid. The repeat reads the log, finds the identifier, appends nothing.
-  it('does nothing when repeated, and says so', async () => {
+  // The response was lost, so the operator sees no result and runs the same
+  // command again. A second credit would be tokens without a payment. The
+  // repeat reads the log, finds the identifier and appends nothing.
+  it('appends nothing when repeated and returns the outcome AlreadyCredited', async () => {
     const {clock, store, log} = createMemoryLog();
     await topUp(log, clock, request('invoice-1', 500));
     const repeat = await topUp(log, clock, request('invoice-1', 500));
@@ -50,17 +50,17 @@
     expect(store.endOffset(stream)).toBe(1);
   });
 
-  // The log is away from the start. The operator is told that nothing was done.
-  it('says that nothing was done when the log was never reached', async () => {
+  // The log is unreachable from the start, so nothing can have been appended.
+  it('reports fate NotDone when the log was never reached', async () => {
     const {clock, store, log} = createMemoryLog();
     store.faults.outage = true;
     const failure = await settle(clock, topUp(log, clock, request('i', 5)));
     expect((failure as StepError).fate).toBe(Fate.NotDone);
   });
 
-  // The log can be read and refuses every append. Its refusals prove that nothing
-  // stands, so the operator may use any identifier next time.
-  it('says that nothing was done when every append was refused', async () => {
+  // The log can be read but rejects every append. The rejections prove that
+  // nothing was stored, so a later attempt may use any identifier.
+  it('reports fate NotDone when every append was rejected', async () => {
     const {clock, log} = createMemoryLog();
     log.append = () =>
       Promise.reject(
@@ -71,13 +71,13 @@
     expect((failure as StepError).reason).toBe('HTTP 429');
   });
 
-  // Any number of answers is lost, in runs that are repeated until one of them
-  // ends well. The budget must rise by each invoice once.
+  // Up to 4 responses are lost per invoice, and each top-up is run twice. The
+  // budget must rise by each invoice once.
   property.prop([fc.array(fc.integer({min: 0, max: 4}), {maxLength: 6})], {
     seed: 7,
     numRuns: 50,
   })(
-    'credits each identifier once, whatever is lost',
+    'credits each identifier once although responses are lost',
     async lostResponseCounts => {
       const {clock, store, log} = createMemoryLog();
       for (const [index, loseAnswers] of lostResponseCounts.entries()) {
--- a/packages/operator/src/top-up.ts
+++ b/packages/operator/src/top-up.ts
@@ -9,11 +9,13 @@
 import {ledgerReader} from './fold-sources.js';
 import {operatorRecord} from './ledger-payload.js';
 
-/** A top-up of one organisation's budget. */
+/** A top-up of an organisation's budget. */
 export interface TopUpRequest {
   readonly organisation: string;
   readonly tokens: number;
-  /** A second top-up with the same identifier does nothing. */
+  /**
+   * Identifies the top-up; a second one with the same identifier has no effect.
+   */
   readonly entryId: string;
   readonly operator: string;
   readonly reason: string;
@@ -22,14 +24,14 @@
   readonly patience?: AppendPatience;
 }
 
-/** What became of a top-up. */
+/** The result of a top-up. */
 export enum TopUpOutcome {
   Credited = 'credited',
-  /** The identifier stood on the log before: nothing was added now. */
+  /** The log already had an entry with this identifier; nothing was added. */
   AlreadyCredited = 'already-credited',
 }
 
-/** A top-up with the organisation's totals after it. */
+/** The outcome and the organisation's totals after it. */
 export interface TopUpResult {
   readonly outcome: TopUpOutcome;
   readonly entryId: string;
@@ -38,11 +40,12 @@
 }
 
 /**
- * Adds to a budget, once for each identifier. After a lost answer, repeat it
- * with the same identifier.
+ * Adds tokens to a budget, once per identifier. If the response was lost,
+ * repeat the call with the same identifier.
  *
- * @throws StepError with fate Unknown where the record may stand on the log.
- * @throws RangeError where the amount is no whole number of tokens above 0.
+ * @throws StepError if the log can't be read or appended to; with fate Unknown
+ *     if the record may be stored in the log.
+ * @throws RangeError if `tokens` is not a safe integer above 0.
  * @example
  * ```ts
  * await topUp(log, clock, {
@@ -57,7 +60,9 @@
   request: TopUpRequest,
 ): Promise<TopUpResult> {
   if (!Number.isSafeInteger(request.tokens) || request.tokens <= 0) {
-    throw new RangeError('expected a whole number of tokens above 0');
+    throw new RangeError(
+      'tokens: expected a whole number above 0 and below 2^53',
+    );
   }
   const {organisation, entryId, tokens, operator, reason} = request;
   const stream = ledgerStreamOf(organisation, request.ledgerStreams);
