--- a/packages/command-line/src/command-error.ts
+++ b/packages/command-line/src/command-error.ts
@@ -1,12 +1,12 @@
 import {Fate, StepError} from '@wisteriadeal/platform';
 import {ExitCode} from '@wisteriadeal/runtime';
 
-/** An expected end of a command that is not a success. */
+/** An expected failure of a command. */
 export class CommandError extends Error {
   override readonly name: string = 'CommandError';
   /**
-   * @param exitCode What the shell gets.
-   * @param nextStep What the operator may do about it.
+   * @param exitCode The exit code of the process.
+   * @param nextStep What the operator can do next.
    */
   constructor(
     readonly exitCode: ExitCode,
@@ -18,8 +18,10 @@
 }
 
 /**
- * The command's end that follows from an error of the platform or a process.
- * Errors of other kinds are returned as they are.
+ * Converts an error of the platform or of a process of the fleet into a
+ * `CommandError`. Returns errors of other kinds unchanged.
+ *
+ * @param retryHint Next step if it is unknown whether the operation was done.
  */
 export function asCommandError(error: unknown, retryHint: string): unknown {
   if (!(error instanceof StepError)) {
@@ -34,6 +36,6 @@
     : new CommandError(
         ExitCode.Unavailable,
         `${error.message}; nothing was done`,
-        'Check the address and that the other side is up, then run the same line again.',
+        'Check the address and that the service there is running, then run the same command again.',
       );
 }
--- a/packages/command-line/src/command-settings.ts
+++ b/packages/command-line/src/command-settings.ts
@@ -11,10 +11,10 @@
 
 import {CommandError} from './command-error.js';
 
-/** The settings file that is read where no other is named. */
+/** The settings file that is read without `--settings`. */
 export const DEFAULT_SETTINGS_FILE = 'wisteriadeal.jsonc';
 
-/** Settings whose required parts are there. */
+/** Settings with all required parts present. */
 export interface CheckedSettings {
   readonly platform: PlatformSettings;
   readonly ledgerStreams: number;
@@ -23,9 +23,9 @@
 }
 
 /**
- * Reads the settings of the command line.
+ * Reads and validates the settings of the command line.
  *
- * @throws CommandError that lists every problem.
+ * @throws CommandError that lists every problem, one per line.
  */
 export function loadCommandSettings(file: string): CheckedSettings {
   const result = loadSettings(
@@ -42,7 +42,7 @@
   }
   const {platform, ledgerStreams, operator, controlAddresses} = result.val;
   if (platform === undefined) {
-    throw new Error('settings were not checked');
+    throw new Error('platform: missing although the settings were validated');
   }
   return {platform, ledgerStreams, operator, controlAddresses};
 }
--- a/packages/command-line/src/commands/budget-explain.ts
+++ b/packages/command-line/src/commands/budget-explain.ts
@@ -14,7 +14,7 @@
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 import {formatValue, formatTable} from '../text-format.js';
 
-/** The budget as the log tells it. */
+/** An organisation's budget according to the ledger in the log. */
 interface LedgerView {
   readonly creditedTokens: number;
   readonly billedTokens: number;
@@ -70,8 +70,8 @@
   const grantedTokens = remainingTokens - unallocatedTokens;
   return [
     `${organisation}: ${creditedTokens} credited = ${billedTokens} billed + ${unallocatedTokens} not granted yet + ${grantedTokens} in grants.`,
-    `A request is refused (402) where its bound, the prompt's bytes and max_tokens, is above what can be brought together: at most ${remainingTokens} tokens now.`,
-    `To add to it: wisteriadeal top-up ${organisation} TOKENS --id INVOICE`,
+    `A request is refused (402) if its bound (from the prompt's bytes and max_tokens) is above the tokens that can be collected for it: at most ${remainingTokens} tokens now.`,
+    `To add tokens: wisteriadeal top-up ${organisation} TOKENS --id INVOICE`,
     formatTable(
       ['grant', 'data centre', 'holder', 'witness', 'left'],
       grants.map(grant => [
@@ -85,7 +85,9 @@
   ].join('\n');
 }
 
-/** What holders have that the log does not show: reservations in progress. */
+/**
+ * Formats the holders' state that the log doesn't contain: open reservations.
+ */
 function describeHeldGrants(answers: readonly ProcessAnswer[]): string {
   return answers
     .flatMap(({host, answer}) => {
@@ -97,11 +99,11 @@
     .join('\n');
 }
 
-/** Says where an organisation's tokens are. */
+/** Shows where an organisation's tokens are. */
 export class BudgetExplain extends OperatorCommand {
-  static override summary = "Say where an organisation's tokens are";
+  static override summary = "Show where an organisation's tokens are";
   static override description =
-    'Folds the ledger on the log and asks each holder what it has reserved. With --json all that every process knows, latest bills included.';
+    'Reads the ledger from the log and asks each holder for its reservations. With --json, includes everything that each process has on the budget, such as its latest bills.';
   static override examples = [
     '<%= config.bin %> budget explain kigali-bar-school',
   ];
@@ -136,12 +138,14 @@
       ) {
         throw new CommandError(
           ExitCode.NotFound,
-          `Nothing is known of the organisation ${organisation}`,
-          'Check the name in the configuration; a new organisation is credited after it was published.',
+          `No data found on the organisation ${organisation}`,
+          'Check the name in the configuration; a new organisation is credited after the configuration was published.',
         );
       }
       if (ledger === undefined) {
-        this.log('The log can not be read now; this is what processes know.');
+        this.log(
+          'The log can not be read now; this is what the processes report.',
+        );
         for (const {host, process, answer} of processesWithState) {
           this.log(`\n${host} ${process}:\n${formatValue(answer)}`);
         }
--- a/packages/command-line/src/commands/budget-release.ts
+++ b/packages/command-line/src/commands/budget-release.ts
@@ -8,12 +8,12 @@
 import {CommandError} from '../command-error.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 
-/** Gives back what is left of a grant that nobody holds any more. */
+/** Releases the remaining tokens of a grant whose hosts are destroyed. */
 export class BudgetRelease extends OperatorCommand {
   static override summary =
-    'Give back what is left of a grant whose hosts are destroyed';
+    'Release the remaining tokens of a grant whose hosts are destroyed';
   static override description =
-    'Only when the hosts of its holder and of its witness are certain to be gone: what a holder that still runs spends afterwards is not billed.';
+    'Use it only if the hosts of the holder and of the witness are certain to be destroyed: what a holder that still runs spends afterwards is not billed.';
   static override examples = [
     '<%= config.bin %> budget release kigali-bar-school 5c0c417c7706fc5900713012d1053cb8 --reason "rack 4 burnt" --yes',
   ];
@@ -23,17 +23,20 @@
       required: true,
     }),
     grant: Args.string({
-      description: 'identifier, as budget explain prints it',
+      description: 'identifier of the grant, as budget explain prints it',
       required: true,
     }),
   };
   static override flags = {
     settings: settingsFlag,
     reason: Flags.string({
-      description: 'how you know, for the records',
+      description: 'how you know that the hosts are destroyed, for the records',
       required: true,
     }),
-    yes: Flags.boolean({description: 'the hosts are destroyed: release it'}),
+    yes: Flags.boolean({
+      description:
+        'confirm that the hosts are destroyed, and release the grant',
+    }),
   };
 
   override async run() {
@@ -42,8 +45,8 @@
     if (!flags.yes) {
       throw new CommandError(
         ExitCode.Usage,
-        'Nothing was released: a holder that is only cut off or paused returns its grant itself, and what it spends after a release is not billed.',
-        'When both hosts of the grant are certain to be destroyed, run the same line with --yes.',
+        'Nothing was released: a holder that is only disconnected or paused returns its grant itself, and what it spends after a release is not billed.',
+        'When both hosts of the grant are certain to be destroyed, run the same command with --yes.',
       );
     }
     return this.withConnections(flags.settings, async connections => {
@@ -68,7 +71,7 @@
       this.log(
         result.outcome === StrandedReleaseOutcome.Released
           ? `Released. ${organisation} has ${result.unallocatedTokens} tokens that are not granted.`
-          : 'Nothing was released: the grant was closed before.',
+          : 'Nothing was released: the grant was already closed.',
       );
       return result;
     });
--- a/packages/command-line/src/commands/check.ts
+++ b/packages/command-line/src/commands/check.ts
@@ -3,15 +3,16 @@
 import {loadConfiguration} from '../configuration-file.js';
 import {OperatorCommand} from '../operator-command.js';
 
-/** Checks a configuration without publishing it. */
+/** Validates a configuration file without publishing it. */
 export class Check extends OperatorCommand {
   static override summary = 'Check a configuration file';
   static override description =
-    'Checks by the same rules as every process of the fleet. Reaches nothing outside.';
+    'Applies the same rules as every process of the fleet. Makes no network connections.';
   static override examples = ['<%= config.bin %> check fleet.json'];
   static override args = {
     file: Args.string({
-      description: 'JSON, comments allowed, as the operators library prints it',
+      description:
+        'JSON file, with comments allowed, as the operator library prints it',
       required: true,
     }),
   };
--- a/packages/command-line/src/commands/dump.ts
+++ b/packages/command-line/src/commands/dump.ts
@@ -6,11 +6,10 @@
 
 const DEFAULT_MAXIMUM_BYTES = 262_144;
 
-/** Prints the state of one process. */
 export class Dump extends OperatorCommand {
   static override summary = 'Print the state of one process';
   static override description =
-    'Versions, grants, reservations, queues and peers; no prompts, answers or credentials. Needs no settings.';
+    'Includes versions, grants, reservations, queues and peers, but no prompts, answers or credentials. Needs no settings.';
   static override examples = [
     '<%= config.bin %> dump 10.0.0.5:7101',
     '<%= config.bin %> dump 10.0.0.5:7101 --json',
@@ -23,7 +22,7 @@
   };
   static override flags = {
     'maximum-bytes': Flags.integer({
-      description: 'the process cuts long lists until its dump fits',
+      description: 'size limit; the process truncates long lists to fit it',
       default: DEFAULT_MAXIMUM_BYTES,
       min: 1_024,
     }),
--- a/packages/command-line/src/commands/fleet-status.ts
+++ b/packages/command-line/src/commands/fleet-status.ts
@@ -12,7 +12,7 @@
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 import {formatTable} from '../text-format.js';
 
-/** Enough for the version; lists are cut away. */
+/** Enough for the configuration version; lists are truncated. */
 const STATUS_DUMP_BYTES = 16_384;
 
 function versionOf(answer: ProcessAnswer): number | undefined {
@@ -31,10 +31,9 @@
   }
 }
 
-/** Shows every process and the configuration it applies. */
 export class FleetStatus extends OperatorCommand {
   static override summary =
-    'Show every process, and which configuration it applies';
+    'Show every process and the configuration version that it applies';
   static override examples = ['<%= config.bin %> fleet status --json'];
   static override flags = {settings: settingsFlag};
 
@@ -51,8 +50,8 @@
       if (answers.length === 0) {
         throw new CommandError(
           ExitCode.NotFound,
-          "The platform's list names no host",
-          'Start an entry host, or look at the platform.',
+          "The platform's host list is empty",
+          'Start an entry host, or check the platform.',
         );
       }
       const processes = answers.map(answer => ({
@@ -67,7 +66,7 @@
       this.log(
         version === undefined
           ? 'The log can not be read now.'
-          : `Version ${version} is in force on the log.`,
+          : `Version ${version} is in force according to the log.`,
       );
       this.log(
         formatTable(
--- a/packages/command-line/src/commands/follow.ts
+++ b/packages/command-line/src/commands/follow.ts
@@ -8,11 +8,11 @@
 const PAGE_RECORDS = 100;
 const WAIT_MILLISECONDS = 1_000;
 
-/** Prints the records of a stream as they come. */
+/** Prints the records of a stream in log order. */
 export class Follow extends OperatorCommand {
   static override summary = 'Print the records of a stream of the log';
   static override description =
-    'One record a line; with --json each line is a JSON object. Ends at the end of the stream unless --wait is given.';
+    'Prints one record per line; with --json each line is a JSON object. Stops at the end of the stream unless --wait is given.';
   static override examples = [
     '<%= config.bin %> follow configuration',
     '<%= config.bin %> follow ledger-3 --from 1200 --wait',
@@ -25,8 +25,14 @@
   };
   static override flags = {
     settings: settingsFlag,
-    from: Flags.integer({description: 'first offset', default: 0, min: 0}),
-    wait: Flags.boolean({description: 'go on at the end, until interrupted'}),
+    from: Flags.integer({
+      description: 'offset of the first record',
+      default: 0,
+      min: 0,
+    }),
+    wait: Flags.boolean({
+      description: 'wait for new records at the end, until interrupted',
+    }),
   };
 
   override async run() {
--- a/packages/command-line/src/commands/publish.ts
+++ b/packages/command-line/src/commands/publish.ts
@@ -20,7 +20,7 @@
     return new CommandError(
       ExitCode.Overtaken,
       `Not published: ${result.reason}. ${winner} published version ${result.version} first; nothing of yours is in force.`,
-      `Take that change into your configuration, then run "wisteriadeal publish ${file}" to see the difference again.`,
+      `Merge that change into your configuration, then run "wisteriadeal publish ${file}" to see the difference again.`,
     );
   }
   return new CommandError(
@@ -30,28 +30,27 @@
   );
 }
 
-/** Publishes a configuration. */
 export class Publish extends OperatorCommand {
-  static override summary = 'Show what a configuration changes, and publish it';
+  static override summary = 'Show what a configuration changes and publish it';
   static override description =
-    'Prints the difference to the version in force. With --yes it is published over exactly that version and the verdict is read back from the log.';
+    'Prints the difference from the version in force. With --yes, publishes the configuration based on exactly that version and reads the verdict back from the log.';
   static override examples = [
     '<%= config.bin %> publish fleet.json',
     '<%= config.bin %> publish fleet.json --yes',
     '<%= config.bin %> publish fleet.json --yes --base 41 --id 7c1f0b1e',
   ];
   static override args = {
-    file: Args.string({description: 'the configuration', required: true}),
+    file: Args.string({description: 'the configuration file', required: true}),
   };
   static override flags = {
     settings: settingsFlag,
     yes: Flags.boolean({description: 'publish, after showing the difference'}),
     base: Flags.integer({
-      description: 'refuse unless this version is in force',
+      description: 'publish only if this version is in force',
       min: 0,
     }),
     id: Flags.string({
-      description: 'identifier of the publication, to repeat one safely',
+      description: 'identifier of the publication; makes a repeat safe',
     }),
   };
 
@@ -78,7 +77,7 @@
         );
         return {published: false, version: inForce.version, changes};
       }
-      this.retryHint = `Run the same line with --id ${publicationId} --base ${baseVersion}: it is published once, and you are told the verdict.`;
+      this.retryHint = `Run the same command with --id ${publicationId} --base ${baseVersion}: it is published once, and the verdict is printed.`;
       const result = await this.withProgress(
         `Publishing over version ${baseVersion} as ${publicationId}`,
         publishConfiguration(log, clock, {
@@ -95,7 +94,9 @@
       this.log(
         `Version ${result.version} is accepted; processes apply it as they read it.`,
       );
-      this.log('Next: wisteriadeal fleet status shows who has it.');
+      this.log(
+        'Next: run "wisteriadeal fleet status" to see which processes apply it.',
+      );
       return {published: true, ...result, changes};
     });
   }
--- a/packages/command-line/src/commands/request-explain.ts
+++ b/packages/command-line/src/commands/request-explain.ts
@@ -7,11 +7,11 @@
 import {formatValue} from '../text-format.js';
 import {findRequestEntries} from '../request-entries.js';
 
-/** Says what happened to a request. */
+/** Shows what happened to a request. */
 export class RequestExplain extends OperatorCommand {
-  static override summary = 'Say step by step what happened to a request';
+  static override summary = 'Show step by step what happened to a request';
   static override description =
-    'Asks each process, and searches the ledger on the log for its claim and its bill.';
+    'Asks each process, and searches the ledger in the log for the claim and the bill of the request.';
   static override examples = [
     '<%= config.bin %> request explain req_0f3a9c1d5e7b2468ace013579bdf2468',
   ];
@@ -50,8 +50,8 @@
       if (processesWithRequest.length === 0 && entries.length === 0) {
         throw new CommandError(
           ExitCode.NotFound,
-          `Nothing is known of ${requestId} (${unreachableProcesses.length} of ${answers.length} processes were not reached)`,
-          'Check the identifier. A request that was refused leaves a trace only in the log lines of its router.',
+          `No data found on ${requestId} (${unreachableProcesses.length} of ${answers.length} processes were not reached)`,
+          'Check the identifier. A refused request is recorded only in the log lines of its router.',
         );
       }
       for (const {host, process, answer} of processesWithRequest) {
--- a/packages/command-line/src/commands/request-summary.ts
+++ b/packages/command-line/src/commands/request-summary.ts
@@ -8,24 +8,25 @@
 import {formatTable} from '../text-format.js';
 import {RequestTally, type TallyRow} from '../request-tally.js';
 
-/** Tells from gateways' logs how requests ended, by reason. */
+/** Counts requests in gateway logs by outcome and status. */
 export class RequestSummary extends OperatorCommand {
-  static override summary = 'Count how requests ended, from gateways’ logs';
+  static override summary = 'Count requests in gateway logs by outcome';
   static override description =
-    'Reads log lines of one or more hosts; other lines are passed over. Reaches nothing outside.';
+    'Reads log lines of one or more hosts; ignores lines that are not about a request. Makes no network connections.';
   static override examples = [
     '<%= config.bin %> request summary gateway.log',
     '<%= config.bin %> request summary --span 10 all-hosts.log',
   ];
   static override args = {
     file: Args.string({
-      description: 'A file of log lines, of one host or of many',
+      description: 'file of log lines, of one or more hosts',
       required: true,
     }),
   };
   static override flags = {
     span: Flags.integer({
-      description: 'Seconds in which the worst moment of each reason is sought',
+      description:
+        'seconds per time window; the table shows the worst window of each outcome',
       default: 2,
       min: 1,
     }),
@@ -42,7 +43,7 @@
       throw new CommandError(
         ExitCode.InvalidInput,
         `can't read ${args.file}: ${String(error)}`,
-        'Name a file of log lines.',
+        'Give the path of a readable file of log lines.',
       );
     }
     const rows = tally.result();
@@ -55,10 +56,10 @@
   'outcome',
   'status',
   'requests',
-  'part',
+  'share',
   'tokens',
-  'worst moment',
-  'requests then',
+  'worst window',
+  'requests in window',
 ];
 
 function rowCells(row: TallyRow): readonly string[] {
--- a/packages/command-line/src/commands/schema.ts
+++ b/packages/command-line/src/commands/schema.ts
@@ -8,9 +8,9 @@
 
 /** Prints the JSON Schema of a file that operators write. */
 export class Schema extends OperatorCommand {
-  static override summary = 'Print the JSON Schema of a file';
-  static override description =
-    'Of the configuration, or of the settings of a binary. Reaches nothing outside.';
+  static override summary =
+    'Print the JSON Schema of a configuration or settings file';
+  static override description = 'Makes no network connections.';
   static override examples = [
     '<%= config.bin %> schema configuration > configuration.schema.json',
   ];
@@ -28,7 +28,7 @@
       throw new CommandError(
         ExitCode.Usage,
         `There is no schema ${args.name}`,
-        `Name one of ${Object.keys(SCHEMAS).join(', ')}.`,
+        `Use one of ${Object.keys(SCHEMAS).join(', ')}.`,
       );
     }
     const schema = toJsonSchema(message);
--- a/packages/command-line/src/commands/top-up.ts
+++ b/packages/command-line/src/commands/top-up.ts
@@ -5,11 +5,10 @@
 import {CommandError} from '../command-error.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 
-/** Adds to a budget. */
 export class TopUp extends OperatorCommand {
   static override summary = "Add tokens to an organisation's budget";
   static override description =
-    'Safe to repeat with the same --id: it is credited once.';
+    'It is safe to repeat the command with the same --id: the tokens are credited once.';
   static override examples = [
     '<%= config.bin %> top-up kigali-bar-school 500000 --id invoice-2041',
   ];
@@ -19,7 +18,7 @@
       required: true,
     }),
     tokens: Args.integer({
-      description: 'how many, above 0',
+      description: 'number of tokens, above 0',
       required: true,
       min: 1,
     }),
@@ -31,19 +30,19 @@
       required: true,
     }),
     reason: Flags.string({
-      description: 'why, for the records',
+      description: 'reason, for the records',
       default: 'top-up',
     }),
   };
   protected override retryHint =
-    'Run the same line again, with the same --id: it is credited once.';
+    'Run the same command again, with the same --id: the tokens are credited once.';
 
   override async run() {
     const {args, flags} = await this.parse(TopUp);
     if (!Number.isSafeInteger(args.tokens)) {
       throw new CommandError(
         ExitCode.InvalidInput,
-        `${args.tokens} tokens can't be counted exactly`,
+        `${args.tokens} tokens: the number is too large to be represented exactly`,
         'Use a whole number below 2^53.',
       );
     }
@@ -63,7 +62,7 @@
       this.log(
         result.outcome === TopUpOutcome.Credited
           ? `Credited. ${args.organisation} has been credited ${result.creditedTokens} tokens in all.`
-          : `Nothing was added: ${flags.id} was credited before. ${args.organisation} has been credited ${result.creditedTokens} tokens in all.`,
+          : `Nothing was added: ${flags.id} was already credited. ${args.organisation} has been credited ${result.creditedTokens} tokens in all.`,
       );
       return result;
     });
--- a/packages/command-line/src/configuration-file.ts
+++ b/packages/command-line/src/configuration-file.ts
@@ -9,10 +9,10 @@
 import {CommandError} from './command-error.js';
 
 /**
- * Reads a configuration file and checks it by the rules of the fold.
+ * Reads a configuration file and validates it with the rules of the fold.
  *
- * @throws CommandError with one line for each problem: file, line, key, and what
- *     was expected.
+ * @throws CommandError with one line per problem: file, line, key and what was
+ *     expected.
  */
 export function loadConfiguration(file: string): Configuration {
   const result = loadSettings(ConfigurationSchema, file, configuration =>
--- a/packages/command-line/src/connections.ts
+++ b/packages/command-line/src/connections.ts
@@ -9,10 +9,12 @@
 
 import type {CheckedSettings} from './command-settings.js';
 
-/** Name under which the command line reads the host list. */
+/** The viewer name that the command line sends to the host list. */
 const HOST_LIST_VIEWER = 'operator';
 
-/** What a command reaches of the world outside. */
+/**
+ * The clients that a command uses, with the settings they were created from.
+ */
 export interface Connections {
   readonly settings: CheckedSettings;
   readonly log: LogClient;
@@ -21,7 +23,7 @@
   close(): Promise<void>;
 }
 
-/** Makes the clients that the settings describe; nothing is sent yet. */
+/** Creates the clients; sends nothing yet. */
 export function connect(settings: CheckedSettings): Connections {
   const {logUrl, hostListUrl, timeoutMilliseconds} = settings.platform;
   const log = new HttpLogClient({url: logUrl, timeoutMilliseconds});
--- a/packages/command-line/src/decoded-record.ts
+++ b/packages/command-line/src/decoded-record.ts
@@ -6,16 +6,16 @@
   LedgerBatchSchema,
 } from '@wisteriadeal/schema';
 
-/** A record in a form that can be printed. */
+/** A decoded log record, for printing. */
 export interface DecodedRecord {
   readonly offset: number;
-  /** The platform's wall clock; for people only. */
+  /** ISO 8601 time of the platform's wall clock; informational only. */
   readonly appendedAt: string;
-  /** The decoded record; bytes that are none are shown in base64. */
+  /** The record as JSON; undecodable bytes are `{unreadable: BASE64}`. */
   readonly record: JsonValue;
 }
 
-/** Decodes a record by the stream that it stands on. */
+/** Decodes a record with the schema of its stream. */
 export function decodeRecord(
   stream: string,
   {offset, payload, appendedAtMilliseconds}: LogRecord,
--- a/packages/command-line/src/fleet-processes.ts
+++ b/packages/command-line/src/fleet-processes.ts
@@ -3,10 +3,10 @@
 import type {Connections} from './connections.js';
 import {InspectionClient} from './inspection-client.js';
 
-/** Processes asked at once: an operator's question is no load on the fleet. */
+/** Concurrent queries; bounds the load that one command puts on the fleet. */
 const MAXIMUM_CONCURRENT_QUERIES = 16;
 
-/** A process of the fleet that can be asked. */
+/** A process of the fleet that can be queried. */
 export interface FleetProcess {
   readonly host: string;
   readonly dataCenter: string;
@@ -15,17 +15,20 @@
   readonly address: string;
 }
 
-/** What one process answered. */
+/** A process's answer to a query, or why there is none. */
 export interface ProcessAnswer extends FleetProcess {
-  /** Undefined where it knows nothing, or could not be asked. */
+  /** Undefined if the process has no data on it, or could not be reached. */
   readonly answer: unknown;
-  /** Why it could not be asked. */
+  /** Why the process could not be reached; undefined if it answered. */
   readonly failure: string | undefined;
 }
 
 /**
- * The processes of the platform's list; while the list is away, those that the
- * settings name.
+ * Returns the processes of the platform's host list. While the list is
+ * unavailable, returns those of the setting `controlAddresses`, whose host,
+ * data centre and process are unknown and empty.
+ *
+ * @throws StepError if the list can't be read and the setting is empty.
  */
 export async function listFleetProcesses(
   connections: Connections,
@@ -81,12 +84,15 @@
 }
 
 /**
- * Asks every process the same question, a few at a time. A process that can't be
- * reached is part of the answer and no error: that is when operators ask.
+ * Sends every process the same query, up to 16 at a time. A process that can't
+ * be reached is reported in the result and isn't an error: operators mostly run
+ * these commands when some processes are unreachable.
  *
  * @example
  * ```ts
- * const answers = await survey(processes, client => client.dump(4_096));
+ * const answers = await queryProcesses(processes, client =>
+ *   client.dump(4_096),
+ * );
  * ```
  */
 export async function queryProcesses(
--- a/packages/command-line/src/index.ts
+++ b/packages/command-line/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Binary: check, publish, top up, explain, dump.
+ * Command-line tool for operators: publishes configurations, tops up budgets
+ * and inspects the fleet.
  */
 import {BudgetExplain} from './commands/budget-explain.js';
 import {BudgetRelease} from './commands/budget-release.js';
@@ -13,7 +14,7 @@
 import {Schema} from './commands/schema.js';
 import {TopUp} from './commands/top-up.js';
 
-/** The commands by the words that an operator types, as oclif reads them. */
+/** The command classes by command name; oclif loads this map. */
 export const COMMANDS = {
   check: Check,
   publish: Publish,
--- a/packages/command-line/src/inspection-client.ts
+++ b/packages/command-line/src/inspection-client.ts
@@ -6,15 +6,17 @@
 import {Fate, StepError} from '@wisteriadeal/platform';
 import {InspectionService} from '@wisteriadeal/schema';
 
-/** A process that does not answer by then is reported as unreachable. */
+/**
+ * A process that doesn't answer within this time is reported as unreachable.
+ */
 const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
-/** Asks one process about itself. */
+/** A client of one process's inspection service. */
 export class InspectionClient {
   private readonly sessionManager: Http2SessionManager;
   private readonly client: Client<typeof InspectionService>;
 
-  /** @param address `IP:port` of the process's control services. */
+  /** @param address IP address and port of the process's control services. */
   constructor(readonly address: string) {
     const baseUrl = `http://${address}`;
     this.sessionManager = new Http2SessionManager(baseUrl);
@@ -30,10 +32,10 @@
   }
 
   /**
-   * Asks for the state.
+   * Reads the process's state.
    *
-   * @param maximumBytes The process cuts lists until the dump fits.
-   * @throws StepError when it can't be reached.
+   * @param maximumBytes Size limit; the process truncates lists to fit it.
+   * @throws StepError if the process can't be reached.
    */
   async dump(maximumBytes: number): Promise<unknown> {
     const answer = await this.call('dump', () =>
@@ -42,7 +44,11 @@
     return JSON.parse(answer.stateJson);
   }
 
-  /** What it knows of a request; undefined where nothing. */
+  /**
+   * Reads what the process has on a request; undefined if nothing.
+   *
+   * @throws StepError if the process can't be reached.
+   */
   async explainRequest(requestId: string): Promise<unknown> {
     const answer = await this.call('explain a request', () =>
       this.client.explainRequest({requestId}),
@@ -50,7 +56,12 @@
     return answer.known ? JSON.parse(answer.explanationJson) : undefined;
   }
 
-  /** What it knows of a budget; undefined where nothing. */
+  /**
+   * Reads what the process has on an organisation's budget; undefined if
+   * nothing.
+   *
+   * @throws StepError if the process can't be reached.
+   */
   async explainBudget(organisation: string): Promise<unknown> {
     const answer = await this.call('explain a budget', () =>
       this.client.explainBudget({organisation}),
@@ -58,7 +69,6 @@
     return answer.known ? JSON.parse(answer.explanationJson) : undefined;
   }
 
-  /** Ends the connection. */
   close(): void {
     this.sessionManager.abort();
   }
--- a/packages/command-line/src/operator-command.ts
+++ b/packages/command-line/src/operator-command.ts
@@ -8,24 +8,31 @@
 } from './command-settings.js';
 import {connect, type Connections} from './connections.js';
 
-/** What oclif adds to its messages; the next step says it here. */
+/** A hint that oclif appends to its messages; `nextStep` replaces it. */
 const OCLIF_HELP_HINT = /\nSee more help with --help$/;
 
-/** Flags of every command that reaches the platform or a process. */
+/** The `--settings` flag of commands that connect to the platform. */
 export const settingsFlag = Flags.string({
   description: 'settings file of the command line',
   default: DEFAULT_SETTINGS_FILE,
   env: 'WISTERIADEAL_SETTINGS',
 });
 
-/** What all commands share: `--json`, exit codes and clean-up. */
+/**
+ * Base class of all commands: `--json`, exit codes and closing of connections.
+ */
 export abstract class OperatorCommand extends Command {
   static override enableJsonFlag = true;
 
-  /** What to do where an answer was lost; commands that write say more. */
-  protected retryHint = 'Run the same line again.';
+  /**
+   * Next step if a response was lost; commands that write override it to say
+   * which flags make the repeat safe.
+   */
+  protected retryHint = 'Run the same command again.';
 
-  /** Connects by a settings file, and closes what was opened at the end. */
+  /**
+   * Connects as a settings file says, and closes the connections after `work`.
+   */
   protected async withConnections<Result>(
     settingsFile: string,
     work: (connections: Connections) => Promise<Result>,
@@ -38,7 +45,7 @@
     }
   }
 
-  /** Shows on standard error that something takes its time. */
+  /** Shows a progress message on standard error; none with `--json`. */
   protected async withProgress<Result>(
     action: string,
     work: Promise<Result>,
@@ -66,7 +73,7 @@
       ? new CommandError(
           ExitCode.Failure,
           thrown.stack ?? thrown.message,
-          'This is a fault of the command line; please report it with the line that you ran.',
+          'This is a bug in the command line; please report it with the command that you ran.',
         )
       : new CommandError(
           ExitCode.Usage,
--- a/packages/command-line/src/request-entries.ts
+++ b/packages/command-line/src/request-entries.ts
@@ -8,12 +8,13 @@
 
 const PAGE_RECORDS = 500;
 
-/** An entry of the ledger that concerns a request. */
+/** A ledger entry that refers to a request. */
 export interface RequestEntry {
   readonly stream: string;
   readonly offset: number;
-  /** Such as `bill` or `claim`. */
+  /** The entry's case, such as `bill` or `claim`. */
   readonly kind: string;
+  /** The whole entry as JSON. */
   readonly value: unknown;
 }
 
@@ -52,10 +53,11 @@
 }
 
 /**
- * Searches what the log still keeps for entries of a request. The organisation
- * is not part of an identifier, so every ledger stream is read.
+ * Searches the records that the log still keeps for entries that refer to a
+ * request. A request identifier doesn't contain the organisation, so every
+ * ledger stream is read.
  *
- * @throws StepError when the log can't be read.
+ * @throws StepError if the log can't be read.
  */
 export async function findRequestEntries(
   log: LogClient,
--- a/packages/command-line/src/request-tally.ts
+++ b/packages/command-line/src/request-tally.ts
@@ -1,17 +1,21 @@
-/** Requests that ended alike. */
+/** Requests with the same outcome and status. */
 export interface TallyRow {
-  /** What the request's line says: `answered`, or the reason that it was not. */
+  /**
+   * The log line's outcome: `answered`, or why the request was not answered.
+   */
   readonly outcome: string;
-  /** Status that the caller got; 0 where it got none. */
+  /** HTTP status sent to the caller; 0 if none was sent. */
   readonly status: number;
   readonly requests: number;
-  /** The most tokens that they could have used. */
+  /** Sum of the maximum tokens that these requests could have used. */
   readonly boundTokens: number;
-  /** Their part of all requests, from 0 to 1. */
+  /** Fraction of all requests, from 0 to 1. */
   readonly part: number;
-  /** When most of them ended: the beginning of that span, as the log tells time. */
+  /**
+   * Start of the time window in which most of them ended, in the log's time.
+   */
   readonly worstAt: string;
-  /** How many ended in that span. */
+  /** Number of requests that ended in that window. */
   readonly worstRequests: number;
 }
 
@@ -31,17 +35,21 @@
 }
 
 /**
- * Counts requests by how they ended, from the lines of gateways' logs: where an
- * incident's harm lies, before single requests are looked at.
+ * Counts requests by outcome and status from gateway log lines. After an
+ * incident it shows which failures affected the most requests, before single
+ * requests are examined.
  */
 export class RequestTally {
   private readonly rows = new Map<string, RowAccumulator>();
   private totalRequests = 0;
 
-  /** @param windowMilliseconds Ends are told by spans of this length. */
+  /**
+   * @param windowMilliseconds Length of the time windows in which ended
+   *     requests are counted.
+   */
   constructor(private readonly windowMilliseconds: number) {}
 
-  /** Takes one line of a log; whatever is no request's end is passed over. */
+  /** Adds a log line; ignores lines other than those of the event `request`. */
   add(line: string): void {
     const request = parseRequestLine(line);
     if (request === undefined) {
@@ -60,7 +68,7 @@
     );
   }
 
-  /** Most frequent first. */
+  /** Returns the rows with the most requests first. */
   result(): readonly TallyRow[] {
     return [...this.rows.values()]
       .sort((one, other) => other.requests - one.requests)
@@ -99,7 +107,11 @@
   }
 }
 
-/** A collector may put a host's name or a time before the object. */
+/**
+ * Parses the log line of a finished request; undefined for other lines. The
+ * JSON object may have a prefix, since log collectors may prepend a host name
+ * or time.
+ */
 function parseRequestLine(line: string): RequestLine | undefined {
   const start = line.indexOf('{');
   const fields = start === -1 ? undefined : parseJsonObject(line.slice(start));
@@ -124,7 +136,7 @@
   try {
     return JSON.parse(text) as Readonly<Record<string, unknown>>;
   } catch {
-    // A line of another program, or one that was cut.
+    // A line of another program, or a truncated one.
     return undefined;
   }
 }
--- a/packages/command-line/src/schema-names.ts
+++ b/packages/command-line/src/schema-names.ts
@@ -7,7 +7,7 @@
   RouterSettingsSchema,
 } from '@wisteriadeal/schema';
 
-/** The files that operators write, by the name of their schema. */
+/** Message schemas of the files that operators write, by schema name. */
 export const SCHEMAS: Readonly<Record<string, DescMessage>> = {
   configuration: ConfigurationSchema,
   router: RouterSettingsSchema,
--- a/packages/command-line/src/test/command-runner.ts
+++ b/packages/command-line/src/test/command-runner.ts
@@ -6,7 +6,7 @@
 
 type CommandClass = new (argv: string[], config: Config) => Command;
 
-/** What an operator sees of one run. */
+/** Exit code and output of one command run. */
 export interface CommandRun {
   readonly exitCode: number;
   readonly output: string;
@@ -23,7 +23,7 @@
   return Number(process.exitCode ?? 0);
 }
 
-/** Runs a command in this process. */
+/** Runs a command in this process and captures its output. */
 export async function runCommand(
   CommandType: CommandClass,
   id: string,
@@ -42,7 +42,8 @@
   try {
     const config = new Config({root: ROOT});
     config.bin = 'wisteriadeal';
-    // Without loading, which would need the built package; there are no hooks.
+    // `config` isn't loaded, since loading needs the built package. Hooks are
+    // only available after loading; this package defines none.
     config.runHook = () => Promise.resolve({successes: [], failures: []});
     const command = new CommandType(argv, config);
     command.id = id;
@@ -56,7 +57,7 @@
   }
 }
 
-/** A directory of files for one test; `close` removes it. */
+/** Creates a temporary directory with files; `close` removes it. */
 export function temporaryFiles(files: Readonly<Record<string, string>>) {
   const directory = mkdtempSync(join(tmpdir(), 'wisteriadeal-'));
   for (const [name, text] of Object.entries(files)) {
--- a/packages/command-line/src/test/commands_test.ts
+++ b/packages/command-line/src/test/commands_test.ts
@@ -30,7 +30,7 @@
 }));
 
 const SETTINGS = `{
-  // Where the platform is.
+  // Addresses of the platform.
   "platform": {
     "logUrl": "http://127.0.0.1:7000",
     "hostListUrl": "http://127.0.0.1:7000",
@@ -89,7 +89,7 @@
   const topUp = (...argv: string[]) =>
     runCommand(TopUp, 'top-up', ...argv, ...settings());
 
-  it('checks a configuration, naming file, line and key of a mistake', async () => {
+  it('reports file, line and key of an error in a configuration', async () => {
     const validRun = await runCommand(Check, 'check', files.path('one.json'));
     expect(validRun.exitCode).toBe(ExitCode.Success);
     const invalidRun = await runCommand(
@@ -110,7 +110,7 @@
     expect(store.endOffset('configuration')).toBe(0);
   });
 
-  it('publishes, and tells a loser who won', async () => {
+  it('publishes, and names the other operator when overtaken', async () => {
     const acceptedRun = await publish('one.json', '--yes', '--base', '0');
     expect(acceptedRun.exitCode).toBe(ExitCode.Success);
     const overtakenRun = await publish('two.json', '--yes', '--base', '0');
@@ -118,7 +118,7 @@
     expect(overtakenRun.errors).toContain('aline published version 1 first');
   });
 
-  it('tops up once, however often the line is run', async () => {
+  it('tops up once although the command is run twice', async () => {
     const line = ['a', '500', '--id', 'invoice-1'];
     const runs = [await topUp(...line), await topUp(...line)];
     expect(runs.map(run => run.exitCode)).toEqual([0, 0]);
@@ -127,7 +127,7 @@
     expect(runs[1]?.output).toContain('500 tokens in all');
   });
 
-  it('says that nothing was done when the log is away', async () => {
+  it('reports that nothing was done when the log is unavailable', async () => {
     store.faults.outage = true;
     const run = await topUp('a', '500', '--id', 'invoice-1', '--json');
     expect(run.exitCode).toBe(ExitCode.Unavailable);
@@ -135,7 +135,7 @@
     expect(error.message).toContain('nothing was done');
   });
 
-  it('refuses wrong arguments and wrong settings by their exit codes', async () => {
+  it('rejects invalid arguments and settings with distinct exit codes', async () => {
     const usage = await topUp('a', 'many', '--id', 'i');
     expect(usage.exitCode).toBe(ExitCode.Usage);
     const file = files.path('one.json');
@@ -166,7 +166,7 @@
     );
   });
 
-  it('releases no grant without the word that its hosts are destroyed', async () => {
+  it('releases no grant without --yes, and no unknown grant', async () => {
     const line = ['a', 'g1', '--reason', 'rack 4 burnt', ...settings()];
     const id = 'budget:release';
     const unconfirmedRun = await runCommand(BudgetRelease, id, ...line);
@@ -182,7 +182,7 @@
     expect(store.endOffset('ledger-0')).toBe(0);
   });
 
-  it('says what is not known, and where to look', async () => {
+  it('exits with NotFound and a next step when there is no data', async () => {
     const budget = await runCommand(
       BudgetExplain,
       'budget:explain',
--- a/packages/command-line/src/test/request-tally_test.ts
+++ b/packages/command-line/src/test/request-tally_test.ts
@@ -8,8 +8,8 @@
 }
 
 describe('RequestTally', () => {
-  it('says which reason cost most, and when', () => {
-    // The operator sees: most refusals came in the outage at 20 s, for budget.
+  it('ranks outcomes by requests and finds the worst time window', () => {
+    // Most refusals are budget-unavailable, in an outage that starts at 20 s.
     const tally = new RequestTally(2_000);
     [
       line(1, 'answered', 200),
@@ -34,7 +34,7 @@
     expect(second?.outcome).toBe('answered');
   });
 
-  it('passes over what is no request’s end', () => {
+  it('ignores lines that are not of a finished request', () => {
     const tally = new RequestTally(2_000);
     ['', 'Warning: {', '{"event":"started"}', '{"event":"request"}'].forEach(
       text => {
--- a/packages/command-line/src/text-format.ts
+++ b/packages/command-line/src/text-format.ts
@@ -35,11 +35,11 @@
 }
 
 /**
- * Prints a JSON value as indented text.
+ * Formats a JSON value as indented text.
  *
  * @example
  * ```ts
- * readable({grants: [{tokens: 5}]});
+ * formatValue({grants: [{tokens: 5}]});
  * // grants:
  * //   -
  * //     tokens: 5
@@ -51,9 +51,7 @@
     : formatScalar(value);
 }
 
-/**
- * Prints rows under headings, in columns as wide as their widest cell.
- */
+/** Formats rows under headings; a column is as wide as its widest cell. */
 export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
