--- a/packages/command-line/src/commands/budget-explain.ts
+++ b/packages/command-line/src/commands/budget-explain.ts
@@ -6,11 +6,15 @@
 
 import {CommandError} from '../command-error.js';
 import type {Connections} from '../connections.js';
-import {fleetProcesses, survey, type SurveyAnswer} from '../fleet-survey.js';
+import {
+  listFleetProcesses,
+  queryProcesses,
+  type ProcessAnswer,
+} from '../fleet-processes.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
-import {readable, table} from '../readable.js';
+import {formatValue, formatTable} from '../text-format.js';
 
-/** The budget as the log tells it. */
+/** An organisation's budget according to the ledger in the log. */
 interface LedgerView {
   readonly creditedTokens: number;
   readonly billedTokens: number;
@@ -27,7 +31,7 @@
   readonly closed: boolean;
 }
 
-function viewOf(fold: LedgerFold, organisation: string): LedgerView {
+function toLedgerView(fold: LedgerFold, organisation: string): LedgerView {
   return {
     ...fold.totals(organisation),
     grants: fold
@@ -51,7 +55,7 @@
   const stream = ledgerStreamOf(organisation, settings.ledgerStreams);
   try {
     const fold = await ledgerReader(log, stream).readToEnd();
-    return viewOf(fold, organisation);
+    return toLedgerView(fold, organisation);
   } catch (error) {
     if (error instanceof StepError) {
       return undefined;
@@ -62,13 +66,13 @@
 
 function describeLedger(organisation: string, ledger: LedgerView): string {
   const {creditedTokens, billedTokens, unallocatedTokens, grants} = ledger;
-  const left = creditedTokens - billedTokens;
-  const granted = left - unallocatedTokens;
+  const remainingTokens = creditedTokens - billedTokens;
+  const grantedTokens = remainingTokens - unallocatedTokens;
   return [
-    `${organisation}: ${creditedTokens} credited = ${billedTokens} billed + ${unallocatedTokens} not granted yet + ${granted} in grants.`,
-    `A request is refused (402) where its bound, the prompt's bytes and max_tokens, is above what can be brought together: at most ${left} tokens now.`,
-    `To add to it: wisteriadeal top-up ${organisation} TOKENS --id INVOICE`,
-    table(
+    `${organisation}: ${creditedTokens} credited = ${billedTokens} billed + ${unallocatedTokens} not granted yet + ${grantedTokens} in grants.`,
+    `A request is refused (402) if its bound (from the prompt's bytes and max_tokens) is above the tokens that can be collected for it: at most ${remainingTokens} tokens now.`,
+    `To add tokens: wisteriadeal top-up ${organisation} TOKENS --id INVOICE`,
+    formatTable(
       ['grant', 'data centre', 'holder', 'witness', 'left'],
       grants.map(grant => [
         grant.grantId,
@@ -81,21 +85,25 @@
   ].join('\n');
 }
 
-/** What holders have that the log does not show: reservations in progress. */
-function describeHeld(answers: readonly SurveyAnswer[]): string {
+/**
+ * Formats the holders' state that the log doesn't contain: open reservations.
+ */
+function describeHeldGrants(answers: readonly ProcessAnswer[]): string {
   return answers
     .flatMap(({host, answer}) => {
       const held = (answer as {heldHere?: readonly unknown[]}).heldHere ?? [];
-      return held.length === 0 ? [] : [`\nHeld by ${host}:\n${readable(held)}`];
+      return held.length === 0
+        ? []
+        : [`\nHeld by ${host}:\n${formatValue(held)}`];
     })
     .join('\n');
 }
 
-/** Says where an organisation's tokens are. */
+/** Shows where an organisation's tokens are. */
 export class BudgetExplain extends OperatorCommand {
-  static override summary = "Say where an organisation's tokens are";
+  static override summary = "Show where an organisation's tokens are";
   static override description =
-    'Folds the ledger on the log and asks each holder what it has reserved. With --json all that every process knows, latest bills included.';
+    'Reads the ledger from the log and asks each holder for its reservations. With --json, includes everything that each process has on the budget, such as its latest bills.';
   static override examples = [
     '<%= config.bin %> budget explain kigali-bar-school',
   ];
@@ -111,32 +119,39 @@
     const {args, flags} = await this.parse(BudgetExplain);
     const {organisation} = args;
     return this.withConnections(flags.settings, async connections => {
-      const ledger = await this.showing(
+      const ledger = await this.withProgress(
         'Reading the ledger',
         readLedger(connections, organisation),
       );
-      const answers = await this.showing(
+      const answers = await this.withProgress(
         'Asking the fleet',
-        survey(await fleetProcesses(connections), client =>
+        queryProcesses(await listFleetProcesses(connections), client =>
           client.explainBudget(organisation),
         ),
       );
-      const known = answers.filter(({answer}) => answer !== undefined);
-      if ((ledger?.creditedTokens ?? 0) === 0 && known.length === 0) {
+      const processesWithState = answers.filter(
+        ({answer}) => answer !== undefined,
+      );
+      if (
+        (ledger?.creditedTokens ?? 0) === 0 &&
+        processesWithState.length === 0
+      ) {
         throw new CommandError(
           ExitCode.NotFound,
-          `Nothing is known of the organisation ${organisation}`,
-          'Check the name in the configuration; a new organisation is credited after it was published.',
+          `No data found on the organisation ${organisation}`,
+          'Check the name in the configuration; a new organisation is credited after the configuration was published.',
         );
       }
       if (ledger === undefined) {
-        this.log('The log can not be read now; this is what processes know.');
-        for (const {host, process, answer} of known) {
-          this.log(`\n${host} ${process}:\n${readable(answer)}`);
+        this.log(
+          'The log can not be read now; this is what the processes report.',
+        );
+        for (const {host, process, answer} of processesWithState) {
+          this.log(`\n${host} ${process}:\n${formatValue(answer)}`);
         }
       } else {
         this.log(describeLedger(organisation, ledger));
-        this.log(describeHeld(known));
+        this.log(describeHeldGrants(processesWithState));
       }
       for (const {host, process, failure} of answers) {
         if (failure !== undefined) {
--- a/packages/command-line/src/commands/fleet-status.ts
+++ b/packages/command-line/src/commands/fleet-status.ts
@@ -4,14 +4,18 @@
 
 import {CommandError} from '../command-error.js';
 import type {Connections} from '../connections.js';
-import {fleetProcesses, survey, type SurveyAnswer} from '../fleet-survey.js';
+import {
+  listFleetProcesses,
+  queryProcesses,
+  type ProcessAnswer,
+} from '../fleet-processes.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
-import {table} from '../readable.js';
+import {formatTable} from '../text-format.js';
 
-/** Enough for the version; lists are cut away. */
+/** Enough for the configuration version; lists are truncated. */
 const STATUS_DUMP_BYTES = 16_384;
 
-function versionOf(answer: SurveyAnswer): number | undefined {
+function versionOf(answer: ProcessAnswer): number | undefined {
   const state = answer.answer as {configurationVersion?: number} | undefined;
   return state?.configurationVersion;
 }
@@ -27,10 +31,9 @@
   }
 }
 
-/** Shows every process and the configuration it applies. */
 export class FleetStatus extends OperatorCommand {
   static override summary =
-    'Show every process, and which configuration it applies';
+    'Show every process and the configuration version that it applies';
   static override examples = ['<%= config.bin %> fleet status --json'];
   static override flags = {settings: settingsFlag};
 
@@ -38,17 +41,17 @@
     const {flags} = await this.parse(FleetStatus);
     return this.withConnections(flags.settings, async connections => {
       const version = await versionOnLog(connections);
-      const answers = await this.showing(
+      const answers = await this.withProgress(
         'Asking the fleet',
-        survey(await fleetProcesses(connections), client =>
+        queryProcesses(await listFleetProcesses(connections), client =>
           client.dump(STATUS_DUMP_BYTES),
         ),
       );
       if (answers.length === 0) {
         throw new CommandError(
           ExitCode.NotFound,
-          "The platform's list names no host",
-          'Start an entry host, or look at the platform.',
+          "The platform's host list is empty",
+          'Start an entry host, or check the platform.',
         );
       }
       const processes = answers.map(answer => ({
@@ -63,10 +66,10 @@
       this.log(
         version === undefined
           ? 'The log can not be read now.'
-          : `Version ${version} is in force on the log.`,
+          : `Version ${version} is in force according to the log.`,
       );
       this.log(
-        table(
+        formatTable(
           ['data centre', 'host', 'process', 'state', 'address', 'version'],
           processes.map(row => [
             row.dataCenter,
--- a/packages/command-line/src/commands/follow.ts
+++ b/packages/command-line/src/commands/follow.ts
@@ -2,17 +2,17 @@
 import {CONFIGURATION_STREAM} from '@wisteriadeal/operator';
 import type {LogRecord} from '@wisteriadeal/platform';
 
-import {describeRecord} from '../record-text.js';
+import {decodeRecord} from '../decoded-record.js';
 import {OperatorCommand, settingsFlag} from '../operator-command.js';
 
 const PAGE_RECORDS = 100;
 const WAIT_MILLISECONDS = 1_000;
 
-/** Prints the records of a stream as they come. */
+/** Prints the records of a stream in log order. */
 export class Follow extends OperatorCommand {
   static override summary = 'Print the records of a stream of the log';
   static override description =
-    'One record a line; with --json each line is a JSON object. Ends at the end of the stream unless --wait is given.';
+    'Prints one record per line; with --json each line is a JSON object. Stops at the end of the stream unless --wait is given.';
   static override examples = [
     '<%= config.bin %> follow configuration',
     '<%= config.bin %> follow ledger-3 --from 1200 --wait',
@@ -25,8 +25,14 @@
   };
   static override flags = {
     settings: settingsFlag,
-    from: Flags.integer({description: 'first offset', default: 0, min: 0}),
-    wait: Flags.boolean({description: 'go on at the end, until interrupted'}),
+    from: Flags.integer({
+      description: 'offset of the first record',
+      default: 0,
+      min: 0,
+    }),
+    wait: Flags.boolean({
+      description: 'wait for new records at the end, until interrupted',
+    }),
   };
 
   override async run() {
@@ -51,11 +57,11 @@
   }
 
   private printRecord(stream: string, record: LogRecord): void {
-    const described = describeRecord(stream, record);
+    const decoded = decodeRecord(stream, record);
     process.stdout.write(
       this.jsonEnabled()
-        ? `${JSON.stringify(described)}\n`
-        : `${described.offset} ${described.appendedAt} ${JSON.stringify(described.record)}\n`,
+        ? `${JSON.stringify(decoded)}\n`
+        : `${decoded.offset} ${decoded.appendedAt} ${JSON.stringify(decoded.record)}\n`,
     );
   }
 }
--- a/packages/command-line/src/request-entries.ts
+++ b/packages/command-line/src/request-entries.ts
@@ -8,16 +8,17 @@
 
 const PAGE_RECORDS = 500;
 
-/** An entry of the ledger that concerns a request. */
+/** A ledger entry that refers to a request. */
 export interface RequestEntry {
   readonly stream: string;
   readonly offset: number;
-  /** Such as `bill` or `claim`. */
+  /** The entry's case, such as `bill` or `claim`. */
   readonly kind: string;
+  /** The whole entry as JSON. */
   readonly value: unknown;
 }
 
-function concerns({kind}: LedgerEntry, requestId: string): boolean {
+function refersToRequest({kind}: LedgerEntry, requestId: string): boolean {
   switch (kind.case) {
     case 'bill':
     case 'claim':
@@ -35,14 +36,14 @@
   }
 }
 
-function entriesIn(
+function decodeMatchingEntries(
   stream: string,
   offset: number,
   payload: Uint8Array,
   requestId: string,
 ): RequestEntry[] {
   return fromBinary(LedgerBatchSchema, payload)
-    .entries.filter(entry => concerns(entry, requestId))
+    .entries.filter(entry => refersToRequest(entry, requestId))
     .map(entry => ({
       stream,
       offset,
@@ -52,10 +53,11 @@
 }
 
 /**
- * Searches what the log still keeps for entries of a request. The organisation
- * is not part of an identifier, so every ledger stream is read.
+ * Searches the records that the log still keeps for entries that refer to a
+ * request. A request identifier doesn't contain the organisation, so every
+ * ledger stream is read.
  *
- * @throws StepError when the log can't be read.
+ * @throws StepError if the log can't be read.
  */
 export async function findRequestEntries(
   log: LogClient,
@@ -70,7 +72,9 @@
     while (position < end) {
       const page = await log.read(stream, position, PAGE_RECORDS, 0);
       for (const {offset, payload} of page.records) {
-        found.push(...entriesIn(stream, offset, payload, requestId));
+        found.push(
+          ...decodeMatchingEntries(stream, offset, payload, requestId),
+        );
       }
       position = page.nextOffset;
       end = page.endOffset;
--- a/packages/command-line/src/test/command-runner.ts
+++ b/packages/command-line/src/test/command-runner.ts
@@ -6,7 +6,7 @@
 
 type CommandClass = new (argv: string[], config: Config) => Command;
 
-/** What an operator sees of one run. */
+/** Exit code and output of one command run. */
 export interface CommandRun {
   readonly exitCode: number;
   readonly output: string;
@@ -19,35 +19,36 @@
 
 const ROOT = new URL('../..', import.meta.url).pathname;
 
-function exitCodeSet(): number {
+function currentExitCode(): number {
   return Number(process.exitCode ?? 0);
 }
 
-/** Runs a command in this process. */
+/** Runs a command in this process and captures its output. */
 export async function runCommand(
   CommandType: CommandClass,
   id: string,
   ...argv: string[]
 ): Promise<CommandRun> {
-  const lines = {output: '', errors: ''};
-  const take = (key: keyof typeof lines) => (text: unknown) => {
-    lines[key] += `${String(text)}\n`;
+  const captured = {output: '', errors: ''};
+  const captureTo = (key: keyof typeof captured) => (text: unknown) => {
+    captured[key] += `${String(text)}\n`;
   };
   const spies = [
-    vi.spyOn(console, 'log').mockImplementation(take('output')),
-    vi.spyOn(console, 'error').mockImplementation(take('errors')),
+    vi.spyOn(console, 'log').mockImplementation(captureTo('output')),
+    vi.spyOn(console, 'error').mockImplementation(captureTo('errors')),
     vi.spyOn(process.stderr, 'write').mockReturnValue(true),
   ];
   process.exitCode = undefined;
   try {
     const config = new Config({root: ROOT});
     config.bin = 'wisteriadeal';
-    // Without loading, which would need the built package; there are no hooks.
+    // `config` isn't loaded, since loading needs the built package. Hooks are
+    // only available after loading; this package defines none.
     config.runHook = () => Promise.resolve({successes: [], failures: []});
     const command = new CommandType(argv, config);
     command.id = id;
     await (command as unknown as RunnableCommand)._run();
-    return {exitCode: exitCodeSet(), ...lines};
+    return {exitCode: currentExitCode(), ...captured};
   } finally {
     process.exitCode = undefined;
     spies.forEach(spy => {
@@ -56,7 +57,7 @@
   }
 }
 
-/** A directory of files for one test; `close` removes it. */
+/** Creates a temporary directory with files; `close` removes it. */
 export function temporaryFiles(files: Readonly<Record<string, string>>) {
   const directory = mkdtempSync(join(tmpdir(), 'wisteriadeal-'));
   for (const [name, text] of Object.entries(files)) {
--- a/packages/command-line/src/test/commands_test.ts
+++ b/packages/command-line/src/test/commands_test.ts
@@ -18,17 +18,19 @@
 import type {Connections} from '../connections.js';
 import {runCommand, temporaryFiles} from './command-runner.js';
 
-const world = vi.hoisted((): {current: unknown} => ({current: undefined}));
+const connections = vi.hoisted((): {current: unknown} => ({
+  current: undefined,
+}));
 
 vi.mock('../connections.js', () => ({
   connect: (settings: CheckedSettings) => ({
-    ...(world.current as Connections),
+    ...(connections.current as Connections),
     settings,
   }),
 }));
 
 const SETTINGS = `{
-  // Where the platform is.
+  // Addresses of the platform.
   "platform": {
     "logUrl": "http://127.0.0.1:7000",
     "hostListUrl": "http://127.0.0.1:7000",
@@ -62,7 +64,7 @@
 
   beforeEach(() => {
     store = new MemoryLogStore(clock);
-    world.current = {
+    connections.current = {
       log: new MemoryLog(store, clock),
       hostList: new MemoryHostList({hosts: [], endpoints: []}),
       clock,
@@ -87,12 +89,16 @@
   const topUp = (...argv: string[]) =>
     runCommand(TopUp, 'top-up', ...argv, ...settings());
 
-  it('checks a configuration, naming file, line and key of a mistake', async () => {
-    const right = await runCommand(Check, 'check', files.path('one.json'));
-    expect(right.exitCode).toBe(ExitCode.Success);
-    const wrong = await runCommand(Check, 'check', files.path('wrong.json'));
-    expect(wrong.exitCode).toBe(ExitCode.InvalidInput);
-    expect(wrong.errors).toMatch(
+  it('reports file, line and key of an error in a configuration', async () => {
+    const validRun = await runCommand(Check, 'check', files.path('one.json'));
+    expect(validRun.exitCode).toBe(ExitCode.Success);
+    const invalidRun = await runCommand(
+      Check,
+      'check',
+      files.path('wrong.json'),
+    );
+    expect(invalidRun.exitCode).toBe(ExitCode.InvalidInput);
+    expect(invalidRun.errors).toMatch(
       /wrong\.json:\d+: organisations\.0\.weight: expected a number above 0/,
     );
   });
@@ -104,15 +110,15 @@
     expect(store.endOffset('configuration')).toBe(0);
   });
 
-  it('publishes, and tells a loser who won', async () => {
-    const first = await publish('one.json', '--yes', '--base', '0');
-    expect(first.exitCode).toBe(ExitCode.Success);
-    const loser = await publish('two.json', '--yes', '--base', '0');
-    expect(loser.exitCode).toBe(ExitCode.Overtaken);
-    expect(loser.errors).toContain('aline published version 1 first');
+  it('publishes, and names the other operator when overtaken', async () => {
+    const acceptedRun = await publish('one.json', '--yes', '--base', '0');
+    expect(acceptedRun.exitCode).toBe(ExitCode.Success);
+    const overtakenRun = await publish('two.json', '--yes', '--base', '0');
+    expect(overtakenRun.exitCode).toBe(ExitCode.Overtaken);
+    expect(overtakenRun.errors).toContain('aline published version 1 first');
   });
 
-  it('tops up once, however often the line is run', async () => {
+  it('tops up once although the command is run twice', async () => {
     const line = ['a', '500', '--id', 'invoice-1'];
     const runs = [await topUp(...line), await topUp(...line)];
     expect(runs.map(run => run.exitCode)).toEqual([0, 0]);
@@ -121,7 +127,7 @@
     expect(runs[1]?.output).toContain('500 tokens in all');
   });
 
-  it('says that nothing was done when the log is away', async () => {
+  it('reports that nothing was done when the log is unavailable', async () => {
     store.faults.outage = true;
     const run = await topUp('a', '500', '--id', 'invoice-1', '--json');
     expect(run.exitCode).toBe(ExitCode.Unavailable);
@@ -129,7 +135,7 @@
     expect(error.message).toContain('nothing was done');
   });
 
-  it('refuses wrong arguments and wrong settings by their exit codes', async () => {
+  it('rejects invalid arguments and settings with distinct exit codes', async () => {
     const usage = await topUp('a', 'many', '--id', 'i');
     expect(usage.exitCode).toBe(ExitCode.Usage);
     const file = files.path('one.json');
@@ -160,18 +166,23 @@
     );
   });
 
-  it('releases no grant without the word that its hosts are destroyed', async () => {
+  it('releases no grant without --yes, and no unknown grant', async () => {
     const line = ['a', 'g1', '--reason', 'rack 4 burnt', ...settings()];
     const id = 'budget:release';
-    const without = await runCommand(BudgetRelease, id, ...line);
-    const unknown = await runCommand(BudgetRelease, id, ...line, '--yes');
-    expect(without.exitCode).toBe(ExitCode.Usage);
-    expect(without.errors).toContain('Nothing was released');
-    expect(unknown.exitCode).toBe(ExitCode.NotFound);
+    const unconfirmedRun = await runCommand(BudgetRelease, id, ...line);
+    const unknownGrantRun = await runCommand(
+      BudgetRelease,
+      id,
+      ...line,
+      '--yes',
+    );
+    expect(unconfirmedRun.exitCode).toBe(ExitCode.Usage);
+    expect(unconfirmedRun.errors).toContain('Nothing was released');
+    expect(unknownGrantRun.exitCode).toBe(ExitCode.NotFound);
     expect(store.endOffset('ledger-0')).toBe(0);
   });
 
-  it('says what is not known, and where to look', async () => {
+  it('exits with NotFound and a next step when there is no data', async () => {
     const budget = await runCommand(
       BudgetExplain,
       'budget:explain',
--- a/packages/operator/src/configuration-builder.ts
+++ b/packages/operator/src/configuration-builder.ts
@@ -47,35 +47,36 @@
 const DEFAULT_OUTPUT_TOKENS = 256;
 const MINIMUM_SECRET_LENGTH = 16;
 
-/** The public methods whose call site an error names. */
+/** The public methods whose call site `ConfigurationError.callSite` reports. */
 type BuilderMethod =
   'limits' | 'modelService' | 'plainService' | 'endpoint' | 'organisation';
 
-function throwFirst(
+function throwFirstMistake(
   mistakes: readonly ConfigurationMistake[],
   subject: string,
   method: BuilderMethod,
 ): void {
-  const [first] = mistakes;
-  if (first !== undefined) {
-    // The method itself, and not a bound copy, is what a stack trace knows.
-    const calledMethod: StackBase = Reflect.get(
+  const [firstMistake] = mistakes;
+  if (firstMistake !== undefined) {
+    // Error.captureStackTrace only finds the method itself in the stack, not a
+    // bound copy of it.
+    const builderMethod: StackBase = Reflect.get(
       ConfigurationBuilder.prototype,
       method,
     );
-    throw new ConfigurationError(first, subject, calledMethod);
+    throw new ConfigurationError(firstMistake, subject, builderMethod);
   }
 }
 
 /**
- * The hash stands in a configuration that many read: a short secret could be
- * found by hashing guesses.
+ * Rejects short secrets. The configuration contains their hashes and is widely
+ * readable, so a short secret could be recovered by hashing guesses.
  */
-function checkSecrets(
+function checkSecretLengths(
   callers: readonly CallerOptions[],
   path: Path,
 ): readonly ConfigurationMistake[] {
-  const message = `expected a secret of at least ${MINIMUM_SECRET_LENGTH} characters, such as mintCredential() makes`;
+  const message = `expected a secret of at least ${MINIMUM_SECRET_LENGTH} characters, such as one from mintCredential()`;
   return callers.flatMap((caller, index) =>
     'secret' in caller && caller.secret.length < MINIMUM_SECRET_LENGTH
       ? [{path: [...path, 'callers', index, 'secret'], message}]
@@ -90,8 +91,8 @@
 }
 
 /**
- * Builds a configuration line by line. Every line is checked when it runs, so a
- * mistake throws there.
+ * Builds a configuration. Each method validates what it adds, so an invalid
+ * call throws at its own line in the operator's program.
  *
  * @example
  * ```ts
@@ -120,24 +121,27 @@
     );
 
   /**
-   * Sets limits; what is left out keeps its default.
+   * Sets limits. A limit that is left out keeps its value: its default, or what
+   * an earlier call set.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if a limit is invalid.
    */
   limits(options: LimitOptions): void {
     const limits = create(LimitsSchema, {
       ...this.configuration.limits,
       ...options,
     });
-    const alone = create(ConfigurationSchema, {limits});
-    throwFirst(validateConfiguration(alone), 'limits', 'limits');
+    const limitsOnly = create(ConfigurationSchema, {limits});
+    throwFirstMistake(validateConfiguration(limitsOnly), 'limits', 'limits');
     this.configuration.limits = limits;
   }
 
   /**
-   * Defines a service of model engines, and its models.
+   * Defines a service of model engines and its models.
    *
-   * @throws ConfigurationError
+   * @returns A reference for `endpoint` and `organisation`.
+   * @throws ConfigurationError if the service or one of its models is invalid,
+   *     or if a name is already used.
    */
   modelService(name: string, options: ModelServiceOptions): ServiceReference {
     const models = options.models.map(model => model.name);
@@ -151,18 +155,20 @@
         ...model,
       });
       const subject = `model service "${name}", model "${model.name}"`;
-      this.add({list: 'models', item}, subject, 'modelService');
+      this.addItem({list: 'models', item}, subject, 'modelService');
     }
     const item = create(ServiceSchema, {name, kind: ServiceKind.MODEL, models});
     const subject = `model service "${name}"`;
-    this.add({list: 'services', item, models}, subject, 'modelService');
+    this.addItem({list: 'services', item, models}, subject, 'modelService');
     return {name};
   }
 
   /**
    * Defines a plain service and the calls it offers.
    *
-   * @throws ConfigurationError
+   * @returns A reference for `endpoint` and `organisation`.
+   * @throws ConfigurationError if the service is invalid or its name is already
+   *     used.
    */
   plainService(name: string, options: PlainServiceOptions): ServiceReference {
     const item = create(ServiceSchema, {
@@ -171,14 +177,15 @@
       calls: options.calls.map(call => ({...call})),
     });
     const subject = `plain service "${name}"`;
-    this.add({list: 'services', item}, subject, 'plainService');
+    this.addItem({list: 'services', item}, subject, 'plainService');
     return {name};
   }
 
   /**
    * Defines an endpoint of a service.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if the endpoint is invalid, its name is already
+   *     used, or this builder has no such service.
    */
   endpoint(name: string, options: EndpointOptions): void {
     const item = create(EndpointSchema, {
@@ -188,20 +195,26 @@
       name,
       service: options.service.name,
     });
-    const services = this.defined([options.service]);
+    const services = this.definedServices([options.service]);
     const subject = `endpoint "${name}"`;
-    this.add({list: 'endpoints', item, services}, subject, 'endpoint');
+    this.addItem({list: 'endpoints', item, services}, subject, 'endpoint');
   }
 
   /**
    * Defines an organisation with its budget and callers.
    *
-   * @throws ConfigurationError
+   * @throws ConfigurationError if the organisation is invalid, its name or a
+   *     credential is already used, a secret is too short, or this builder has
+   *     no such service.
    */
   organisation(name: string, options: OrganisationOptions): void {
     const subject = `organisation "${name}"`;
     const path = ['organisations', this.configuration.organisations.length];
-    throwFirst(checkSecrets(options.callers, path), subject, 'organisation');
+    throwFirstMistake(
+      checkSecretLengths(options.callers, path),
+      subject,
+      'organisation',
+    );
     const item = create(OrganisationSchema, {
       name,
       openingBudgetTokens: options.openingBudgetTokens,
@@ -214,19 +227,30 @@
         credentialSha256: credentialHash(caller),
       })),
     });
-    const services = this.defined(options.services);
-    throwFirst(this.sharedCredentials(item, path), subject, 'organisation');
-    this.add({list: 'organisations', item, services}, subject, 'organisation');
+    const services = this.definedServices(options.services);
+    throwFirstMistake(
+      this.checkCredentialsAreUnique(item, path),
+      subject,
+      'organisation',
+    );
+    this.addItem(
+      {list: 'organisations', item, services},
+      subject,
+      'organisation',
+    );
   }
 
-  /** References may come from elsewhere; only what this fleet has counts. */
-  private defined(
+  /**
+   * Drops references to services that this builder has not defined, such as
+   * those of another builder.
+   */
+  private definedServices(
     references: readonly ServiceReference[],
   ): readonly ServiceReference[] {
     return references.filter(({name}) => this.lineCheck.has('services', name));
   }
 
-  private sharedCredentials(
+  private checkCredentialsAreUnique(
     organisation: Organisation,
     path: Path,
   ): readonly ConfigurationMistake[] {
@@ -239,7 +263,7 @@
     );
   }
 
-  private add<Name extends ListName>(
+  private addItem<Name extends ListName>(
     line: Omit<Line<Name>, 'limits'>,
     subject: string,
     method: BuilderMethod,
@@ -247,19 +271,20 @@
     const {limits} = this.configuration;
     const items: Configuration[Name][number][] = this.configuration[line.list];
     const mistakes = this.lineCheck.check({...line, limits}, items.length);
-    throwFirst(mistakes, subject, method);
+    throwFirstMistake(mistakes, subject, method);
     items.push(line.item);
   }
 
-  /** The configuration so far; later lines don't change it. */
+  /** Returns a copy of the configuration; later calls don't change it. */
   build(): Configuration {
     return structuredClone(this.configuration);
   }
 
   /**
-   * Prints the configuration as JSON; it holds hashes and no secrets.
+   * Prints the configuration as JSON. It contains credential hashes, no
+   * secrets.
    *
-   * @param write Takes the text; standard output by default.
+   * @param write Receives the text; writes to standard output by default.
    */
   print(
     write: (text: string) => void = text => process.stdout.write(text),
--- a/packages/operator/src/configuration-difference.ts
+++ b/packages/operator/src/configuration-difference.ts
@@ -1,7 +1,7 @@
 import {toJson} from '@bufbuild/protobuf';
 import {ConfigurationSchema, type Configuration} from '@wisteriadeal/schema';
 
-/** What a publication does to one item. */
+/** How an item differs between two configurations. */
 export enum ChangeKind {
   Added = 'added',
   Removed = 'removed',
@@ -11,15 +11,23 @@
 /** One item that differs between two configurations. */
 export interface ConfigurationChange {
   readonly kind: ChangeKind;
-  /** Such as `organisations kigali-bar-school` or `limits`. */
+  /** List and name, such as `organisations kigali-bar-school`, or `limits`. */
   readonly item: string;
-  /** For a changed item: each key with its values before and after, as JSON. */
+  /**
+   * For a changed item, one line per changed key with its old and new value as
+   * JSON; otherwise empty.
+   */
   readonly details: readonly string[];
 }
 
 type JsonFields = Readonly<Record<string, unknown>>;
 
-const LISTS = ['models', 'services', 'endpoints', 'organisations'] as const;
+const ITEM_LISTS = [
+  'models',
+  'services',
+  'endpoints',
+  'organisations',
+] as const;
 
 function itemsOf(configuration: Configuration | undefined) {
   const items = new Map<string, JsonFields>();
@@ -29,7 +37,7 @@
   const json = toJson(ConfigurationSchema, configuration, {
     alwaysEmitImplicit: true,
   }) as Readonly<Record<string, unknown>>;
-  for (const list of LISTS) {
+  for (const list of ITEM_LISTS) {
     for (const item of json[list] as readonly JsonFields[]) {
       items.set(`${list} ${String(item.name)}`, item);
     }
@@ -42,16 +50,17 @@
 
 function changedKeys(before: JsonFields, after: JsonFields): string[] {
   return Object.keys(after).flatMap(key => {
-    const was = JSON.stringify(before[key] ?? null);
-    const is = JSON.stringify(after[key] ?? null);
-    return was === is ? [] : [`${key}: ${was} -> ${is}`];
+    const oldValue = JSON.stringify(before[key] ?? null);
+    const newValue = JSON.stringify(after[key] ?? null);
+    return oldValue === newValue ? [] : [`${key}: ${oldValue} -> ${newValue}`];
   });
 }
 
 /**
- * Compares two configurations item by item, whatever the order of their lists.
+ * Compares two configurations item by item, regardless of the order of their
+ * lists.
  *
- * @param before Undefined where none is in force.
+ * @param before The configuration in force; undefined if there is none.
  * @example
  * ```ts
  * configurationDifference(fold.configuration, fleet.build()).map(formatChange);
@@ -61,11 +70,11 @@
   before: Configuration | undefined,
   after: Configuration,
 ): readonly ConfigurationChange[] {
-  const old = itemsOf(before);
+  const itemsBefore = itemsOf(before);
   const changes: ConfigurationChange[] = [];
   for (const [item, fields] of itemsOf(after)) {
-    const previous = old.get(item);
-    old.delete(item);
+    const previous = itemsBefore.get(item);
+    itemsBefore.delete(item);
     if (previous === undefined) {
       changes.push({kind: ChangeKind.Added, item, details: []});
       continue;
@@ -75,22 +84,22 @@
       changes.push({kind: ChangeKind.Changed, item, details});
     }
   }
-  for (const item of old.keys()) {
+  for (const item of itemsBefore.keys()) {
     changes.push({kind: ChangeKind.Removed, item, details: []});
   }
   return changes;
 }
 
-const SIGNS: Readonly<Record<ChangeKind, string>> = {
+const CHANGE_SIGNS: Readonly<Record<ChangeKind, string>> = {
   [ChangeKind.Added]: '+',
   [ChangeKind.Removed]: '-',
   [ChangeKind.Changed]: '~',
 };
 
-/** Prints a change as lines of text. */
+/** Formats a change as one or more lines of text. */
 export function formatChange(change: ConfigurationChange): string {
   return [
-    `${SIGNS[change.kind]} ${change.item}`,
+    `${CHANGE_SIGNS[change.kind]} ${change.item}`,
     ...change.details.map(detail => `    ${detail}`),
   ].join('\n');
 }
--- a/packages/operator/src/fold-sources.ts
+++ b/packages/operator/src/fold-sources.ts
@@ -12,7 +12,7 @@
 /** Name of the stream on which configurations are published. */
 export const CONFIGURATION_STREAM = 'configuration';
 
-/** Folds the stream `configuration`. */
+/** Folds the stream `configuration` into a `ConfigurationFold`. */
 export class ConfigurationFoldSource extends FoldSource<ConfigurationFold> {
   override empty(): ConfigurationFold {
     return new ConfigurationFold();
@@ -34,7 +34,7 @@
   }
 }
 
-function checkpointIn(payload: Uint8Array): LedgerCheckpoint | undefined {
+function findCheckpoint(payload: Uint8Array): LedgerCheckpoint | undefined {
   for (const {kind} of fromBinary(LedgerBatchSchema, payload).entries) {
     if (kind.case === 'checkpoint') {
       return kind.value;
@@ -43,14 +43,14 @@
   return undefined;
 }
 
-/** Folds a stream `ledger-N`. */
+/** Folds a ledger stream, `ledger-N`, into a `LedgerFold`. */
 export class LedgerFoldSource extends FoldSource<LedgerFold> {
   override empty(): LedgerFold {
     return new LedgerFold();
   }
 
   override fromCheckpoint(payload: Uint8Array): LedgerFold | undefined {
-    const checkpoint = checkpointIn(payload);
+    const checkpoint = findCheckpoint(payload);
     return checkpoint === undefined
       ? undefined
       : LedgerFold.fromCheckpoint(checkpoint);
@@ -62,7 +62,7 @@
 }
 
 /**
- * A reader of the stream `configuration`.
+ * Creates a reader of the stream `configuration`.
  *
  * @example
  * ```ts
@@ -80,7 +80,7 @@
 }
 
 /**
- * A reader of a ledger stream.
+ * Creates a reader of a ledger stream.
  *
  * @example
  * ```ts
--- a/packages/operator/src/json-schema.ts
+++ b/packages/operator/src/json-schema.ts
@@ -24,7 +24,9 @@
     case ScalarType.DOUBLE:
       return {type: 'number', minimum: 0};
     default:
-      throw new Error(`no JSON form is agreed for ${ScalarType[scalar]}`);
+      throw new Error(
+        `the JSON Schema export does not support the scalar type ${ScalarType[scalar]}`,
+      );
   }
 }
 
@@ -35,14 +37,14 @@
   return {type: 'string', enum: values};
 }
 
-function reference(message: DescMessage | undefined): JsonSchema {
+function messageReference(message: DescMessage | undefined): JsonSchema {
   return {$ref: `#/$defs/${message?.name ?? ''}`};
 }
 
 function itemSchema(field: DescField & {fieldKind: 'list'}): JsonSchema {
   switch (field.listKind) {
     case 'message':
-      return reference(field.message);
+      return messageReference(field.message);
     case 'enum':
       return enumSchema(field);
     case 'scalar':
@@ -53,7 +55,7 @@
 function fieldSchema(field: DescField): JsonSchema {
   switch (field.fieldKind) {
     case 'message':
-      return reference(field.message);
+      return messageReference(field.message);
     case 'enum':
       return enumSchema(field);
     case 'scalar':
@@ -61,7 +63,9 @@
     case 'list':
       return {type: 'array', items: itemSchema(field)};
     case 'map':
-      throw new Error(`no JSON form is agreed for the map ${field.name}`);
+      throw new Error(
+        `the JSON Schema export does not support the map field ${field.name}`,
+      );
   }
 }
 
@@ -77,24 +81,26 @@
 
 function collectMessages(
   message: DescMessage,
-  found: Map<string, DescMessage>,
+  messagesByName: Map<string, DescMessage>,
 ): Map<string, DescMessage> {
-  if (!found.has(message.name)) {
-    found.set(message.name, message);
+  if (!messagesByName.has(message.name)) {
+    messagesByName.set(message.name, message);
     for (const {message: nested} of message.fields) {
       if (nested !== undefined) {
-        collectMessages(nested, found);
+        collectMessages(nested, messagesByName);
       }
     }
   }
-  return found;
+  return messagesByName;
 }
 
 /**
- * The JSON Schema of a message, from the generated descriptors: the contract for
- * a library in another language. References, ranges and required keys beyond it
- * are judged by `wisteriadeal check`.
+ * Returns the JSON Schema of a message, from its generated descriptor.
+ * Libraries in other languages validate against it. It doesn't cover references
+ * between items, required keys, or ranges narrower than the field's type;
+ * `wisteriadeal check` does.
  *
+ * @throws Error if the message has a field of an unsupported type.
  * @example
  * ```ts
  * const schema = toJsonSchema(ConfigurationSchema);
@@ -106,7 +112,7 @@
     $schema: DIALECT,
     $id: `urn:wisteriadeal:schema:${message.typeName}`,
     title: message.name,
-    ...reference(message),
+    ...messageReference(message),
     $defs: Object.fromEntries(
       definitions.map(definition => [
         definition.name,
--- a/packages/operator/src/opening-budgets.ts
+++ b/packages/operator/src/opening-budgets.ts
@@ -11,12 +11,13 @@
 import {appendUntilDecided, type AppendPatience} from './confirmed-append.js';
 import {ledgerReader} from './fold-sources.js';
 
-/** Entries of one record: about 30 KB, well below a log's usual record limit. */
+/** Entries per record: about 30 KB, well below a log's usual record limit. */
 const ENTRIES_PER_RECORD = 250;
 
-/** Where opening budgets are credited. */
+/** Organisations whose opening budgets are credited, and how. */
 export interface OpeningBudgets {
   readonly operator: string;
+  /** Number of ledger streams of the fleet. */
   readonly ledgerStreams: number;
   readonly organisations: readonly Organisation[];
   readonly patience: AppendPatience;
@@ -41,10 +42,10 @@
   openings: OpeningBudgets,
 ): ReadonlyMap<string, LedgerEntry[]> {
   const byStream = new Map<string, LedgerEntry[]>();
-  const withBudget = openings.organisations.filter(
+  const organisationsWithBudget = openings.organisations.filter(
     organisation => organisation.openingBudgetTokens > 0,
   );
-  for (const organisation of withBudget) {
+  for (const organisation of organisationsWithBudget) {
     const stream = ledgerStreamOf(organisation.name, openings.ledgerStreams);
     const entries = byStream.get(stream) ?? [];
     entries.push(openingEntry(organisation, openings.operator));
@@ -61,11 +62,15 @@
   entries: readonly LedgerEntry[],
 ): Promise<void> {
   const reader = ledgerReader(log, stream);
-  for (let start = 0; start < entries.length; start += ENTRIES_PER_RECORD) {
-    const part = entries.slice(start, start + ENTRIES_PER_RECORD);
+  for (
+    let chunkStart = 0;
+    chunkStart < entries.length;
+    chunkStart += ENTRIES_PER_RECORD
+  ) {
+    const chunk = entries.slice(chunkStart, chunkStart + ENTRIES_PER_RECORD);
     const batch = create(LedgerBatchSchema, {
       writer: `operator/${openings.operator}`,
-      entries: part,
+      entries: chunk,
     });
     await appendUntilDecided({
       log,
@@ -74,17 +79,17 @@
       payload: toBinary(LedgerBatchSchema, batch),
       patience: openings.patience,
       isDecided: fold =>
-        part.every(entry => fold.hasSeen(entry.organisation, entry.entryId)),
+        chunk.every(entry => fold.hasSeen(entry.organisation, entry.entryId)),
     });
   }
 }
 
 /**
  * Credits the opening budgets of organisations that are new in a configuration.
- * Keepers do the same where they find one missing; the entry's identifier makes
- * it once, whoever comes first.
+ * Keepers also credit an opening budget that they find missing. Both use the
+ * same entry identifier, so each is credited once, whichever appends first.
  *
- * @throws StepError where a stream can't be appended to; repeat it then.
+ * @throws StepError if a stream can't be appended to; it is safe to repeat.
  */
 export async function creditOpeningBudgets(
   log: LogClient,
--- a/packages/operator/src/stream-reader.ts
+++ b/packages/operator/src/stream-reader.ts
@@ -7,12 +7,12 @@
 
 const PAGE_RECORDS = 500;
 
-/** How the records of one kind of stream become state. */
+/** Folds the records of one kind of stream into state. */
 export abstract class FoldSource<Fold extends {readonly nextOffset: number}> {
-  /** A fold that has read nothing. */
+  /** Returns the state before the first record. */
   abstract empty(): Fold;
 
-  /** A fold from a record that is a valid checkpoint; else undefined. */
+  /** Returns the state of a valid checkpoint record; undefined for others. */
   abstract fromCheckpoint(payload: Uint8Array): Fold | undefined;
 
   /** Applies the next record. */
@@ -20,16 +20,16 @@
 }
 
 /**
- * Folds a stream from its start, or, once its first records have expired, from a
+ * Folds a stream from its start or, if its first records have expired, from a
  * checkpoint.
  *
- * The log keeps records for a limited time. A reader that folded only what is
- * left would hold another state than everybody else: an operator would be told
- * that version 2 is in force where it is 4,002. So without the first record
- * nothing is folded until a checkpoint is found.
+ * The log keeps records for a limited time. A reader that folded only the
+ * remaining ones would reach a different state than other readers; for example,
+ * it would report version 2 in force when it is 4,002. If the first record is
+ * gone, nothing is folded until a checkpoint is found.
  */
 export class StreamReader<Fold extends {readonly nextOffset: number}> {
-  private current: Fold;
+  private currentFold: Fold;
   private position = 0;
   private seekingCheckpoint = false;
 
@@ -38,20 +38,21 @@
     readonly stream: string,
     private readonly source: FoldSource<Fold>,
   ) {
-    this.current = source.empty();
+    this.currentFold = source.empty();
   }
 
-  /** The state as far as it was read. */
+  /** The state after the records read so far. */
   get fold(): Fold {
-    return this.current;
+    return this.currentFold;
   }
 
   /**
    * Reads and folds one page.
    *
-   * @param waitMilliseconds Waits up to this long for a new record.
-   * @returns Whether the end of the stream, as far as known, is reached.
-   * @throws StepError when the log can't be read.
+   * @param waitMilliseconds How long to wait for a new record at the end of the
+   *     stream.
+   * @returns Whether the end of the stream that the log reported is reached.
+   * @throws StepError if the log can't be read.
    */
   async readOn(
     waitMilliseconds: number,
@@ -69,20 +70,20 @@
     }
     this.position = page.nextOffset;
     if (this.seekingCheckpoint) {
-      this.seek(page);
+      this.seekCheckpoint(page);
     } else {
       for (const {offset, payload} of page.records) {
-        this.source.apply(this.current, offset, payload);
+        this.source.apply(this.currentFold, offset, payload);
       }
     }
     return this.position >= page.endOffset;
   }
 
   /**
-   * Reads up to the end.
+   * Reads and folds all records up to the end of the stream.
    *
-   * @throws StepError when the log can't be read, or when its first records have
-   *     expired and no checkpoint is found.
+   * @throws StepError if the log can't be read, or if the first records have
+   *     expired and there is no checkpoint.
    * @example
    * ```ts
    * await reader.readToEnd();
@@ -101,19 +102,19 @@
         'the first records have expired and no checkpoint was found',
       );
     }
-    return this.current;
+    return this.currentFold;
   }
 
   /**
-   * Looks for a checkpoint whose following records are all still there. Reading
-   * goes on right behind its state: records between that and the checkpoint's own
-   * place were not folded while seeking.
+   * Looks for a checkpoint after whose state no record has expired. The next
+   * read starts at the first record that the checkpoint's state doesn't cover:
+   * records between it and the checkpoint itself were not folded while seeking.
    */
-  private seek(page: LogPage): void {
+  private seekCheckpoint(page: LogPage): void {
     for (const {payload} of page.records) {
       const fold = this.source.fromCheckpoint(payload);
       if (fold !== undefined && fold.nextOffset >= page.firstOffset) {
-        this.current = fold;
+        this.currentFold = fold;
         this.position = fold.nextOffset;
         this.seekingCheckpoint = false;
         return;
--- a/packages/operator/src/test/configuration-builder_test.ts
+++ b/packages/operator/src/test/configuration-builder_test.ts
@@ -7,7 +7,7 @@
 import {ConfigurationError} from '../configuration-error.js';
 import {hashCredential, mintCredential} from '../credential.js';
 
-function thrownBy(line: () => unknown): ConfigurationError {
+function catchConfigurationError(line: () => unknown): ConfigurationError {
   try {
     line();
   } catch (error) {
@@ -19,7 +19,7 @@
   throw new Error('nothing was thrown');
 }
 
-function smallFleet() {
+function createSmallFleet() {
   const fleet = new ConfigurationBuilder();
   const tutor = fleet.modelService('tutor-models', {
     models: [{name: 'tutor-7b', maximumOutputTokens: 1_024}],
@@ -46,8 +46,8 @@
 }
 
 describe('ConfigurationBuilder', () => {
-  it('prints a configuration that reads back the same and passes its check', () => {
-    const {fleet, tutor, registry} = smallFleet();
+  it('prints a configuration that parses back unchanged and is valid', () => {
+    const {fleet, tutor, registry} = createSmallFleet();
     fleet.organisation('kigali-bar-school', {
       openingBudgetTokens: 1_000_000,
       callers: [{name: 'trainee-app', secret: 'open sesame, open sesame'}],
@@ -63,9 +63,9 @@
     expect(text).toContain(hashCredential('open sesame, open sesame'));
   });
 
-  it('throws at the line of the mistake, naming key and expectation', () => {
-    const {fleet, tutor} = smallFleet();
-    const error = thrownBy(() => {
+  it('throws at the invalid call, with the key and what was expected', () => {
+    const {fleet, tutor} = createSmallFleet();
+    const error = catchConfigurationError(() => {
       fleet.endpoint('tutor-2', {
         service: tutor,
         dataCenter: 'kigali-1',
@@ -80,15 +80,15 @@
   });
 
   it.each([
-    ['a service that is not defined', {services: [{name: 'tutor'}]}],
-    ['a budget that is not whole', {openingBudgetTokens: 0.5}],
+    ['an undefined service', {services: [{name: 'tutor'}]}],
+    ['a fractional budget', {openingBudgetTokens: 0.5}],
     ['a budget beyond 2^53', {openingBudgetTokens: 2 ** 53}],
-    ['a weight of nothing', {weight: 0}],
-    ['a secret that can be guessed', {callers: [{name: 'app', secret: 'x'}]}],
-    ['a wrong hash', {callers: [{name: 'app', credentialSha256: 'ABC'}]}],
-  ])('refuses %s', (_, wrong) => {
-    const {fleet, tutor} = smallFleet();
-    const error = thrownBy(() => {
+    ['a weight of 0', {weight: 0}],
+    ['a secret that is too short', {callers: [{name: 'app', secret: 'x'}]}],
+    ['a malformed hash', {callers: [{name: 'app', credentialSha256: 'ABC'}]}],
+  ])('rejects %s', (_, wrong) => {
+    const {fleet, tutor} = createSmallFleet();
+    const error = catchConfigurationError(() => {
       fleet.organisation('kigali-bar-school', {
         openingBudgetTokens: 1,
         callers: [],
@@ -99,8 +99,8 @@
     expect(error.key).toContain(Object.keys(wrong)[0]);
   });
 
-  it('refuses a credential that another organisation has', () => {
-    const {fleet, tutor} = smallFleet();
+  it('rejects a credential of another organisation', () => {
+    const {fleet, tutor} = createSmallFleet();
     const {credentialSha256} = mintCredential();
     const options = {
       openingBudgetTokens: 1,
@@ -108,13 +108,13 @@
       services: [tutor],
     };
     fleet.organisation('one', options);
-    const error = thrownBy(() => {
+    const error = catchConfigurationError(() => {
       fleet.organisation('two', options);
     });
     expect(error.expected).toContain('not that of one/app');
   });
 
-  it('mints a secret whose hash goes into the configuration', () => {
+  it('generates a secret together with its hash', () => {
     const {secret, credentialSha256} = mintCredential();
     expect(hashCredential(secret)).toBe(credentialSha256);
     expect(secret).toHaveLength(32);
