--- a/packages/measurements/src/budget-replay-scenarios.ts
+++ b/packages/measurements/src/budget-replay-scenarios.ts
@@ -1,86 +1,86 @@
-/** A span of time, seconds from the start; the end is not part of it. */
-export interface Span {
+/** A time span in seconds from the start; the end is exclusive. */
+export interface TimeSpan {
   readonly from: number;
   readonly to: number;
 }
 
-/** Hosts that lose something for a time. */
-export interface HostSpan extends Span {
-  /** By their numbers from 0. */
+/** A time span during which a fault affects some hosts. */
+export interface HostSpan extends TimeSpan {
+  /** Host indexes, from 0. */
   readonly hosts: readonly number[];
 }
 
-/** One organisation's callers. */
+/** An organisation's budget and the load of its callers. */
 export interface ReplayOrganisation {
   readonly name: string;
   readonly requestsPerSecond: number;
-  /** The budget, as a multiple of what its callers would use in all. */
+  /** The budget, as a multiple of the expected usage of its callers. */
   readonly budgetFactor: number;
-  /** The host that all its callers come to; undefined where they come to all. */
+  /** Index of the host that all of its callers use; undefined if they use all hosts. */
   readonly host: number | undefined;
 }
 
-/** What happens while callers come. */
+/** The faults and load changes during a replay. */
 export interface ReplayScenario {
   readonly name: string;
-  /** Hosts that do not reach the store. */
-  readonly storeCuts: readonly HostSpan[];
-  /** Hosts that reach neither the store nor hosts outside their group. */
-  readonly dataCenterCuts: readonly HostSpan[];
-  /** Hosts whose process is dead; a new one opens at the end. */
-  readonly deaths: readonly HostSpan[];
-  /** The first organisation sends so many times its usual. */
-  readonly burst: (Span & {readonly factor: number}) | undefined;
+  /** Spans in which hosts can't reach the store. */
+  readonly storeOutages: readonly HostSpan[];
+  /** Spans in which hosts reach neither the store nor hosts outside their group. */
+  readonly dataCenterPartitions: readonly HostSpan[];
+  /** Spans in which a host's process is down; a new one starts at the end. */
+  readonly hostFailures: readonly HostSpan[];
+  /** Span in which the first organisation sends `factor` times its usual load. */
+  readonly burst: (TimeSpan & {readonly factor: number}) | undefined;
 }
 
-export const HOSTS = 9;
-/** Length of a replay, seconds. */
-export const SECONDS = 58;
+export const HOST_COUNT = 9;
+/** Duration of a replay, in seconds. */
+export const REPLAY_SECONDS = 58;
 
-const ALL = Array.from({length: HOSTS}, (_unused, host) => host);
+const ALL_HOSTS = Array.from({length: HOST_COUNT}, (_unused, host) => host);
 const FIRST_DATA_CENTER = [0, 1, 2];
 
-const QUIET: Omit<ReplayScenario, 'name'> = {
-  storeCuts: [],
-  dataCenterCuts: [],
-  deaths: [],
+const NO_FAULTS: Omit<ReplayScenario, 'name'> = {
+  storeOutages: [],
+  dataCenterPartitions: [],
+  hostFailures: [],
   burst: undefined,
 };
 
-const TWO_CUTS: readonly HostSpan[] = [
-  {hosts: ALL, from: 5.6, to: 13.9},
-  {hosts: ALL, from: 24, to: 32.6},
+const TWO_STORE_OUTAGES: readonly HostSpan[] = [
+  {hosts: ALL_HOSTS, from: 5.6, to: 13.9},
+  {hosts: ALL_HOSTS, from: 24, to: 32.6},
 ];
-const LAST_LOSS: HostSpan = {hosts: ALL, from: 41.4, to: 42.4};
+const FINAL_POWER_LOSS: HostSpan = {hosts: ALL_HOSTS, from: 41.4, to: 42.4};
 
-/** Days of the users' deployments, with what they have in common. */
+/** Scenarios modelled on days of the users' deployments. */
 export const REPLAY_SCENARIOS: readonly ReplayScenario[] = [
-  {...QUIET, name: 'calm'},
-  {...QUIET, name: 'two-cuts', storeCuts: TWO_CUTS},
+  {...NO_FAULTS, name: 'calm'},
+  {...NO_FAULTS, name: 'two-cuts', storeOutages: TWO_STORE_OUTAGES},
   {
-    ...QUIET,
+    ...NO_FAULTS,
     name: 'two-cuts-burst',
-    storeCuts: TWO_CUTS,
+    storeOutages: TWO_STORE_OUTAGES,
     burst: {from: 15, to: 30, factor: 3},
   },
-  {...QUIET, name: 'all-die', deaths: [LAST_LOSS]},
+  {...NO_FAULTS, name: 'all-die', hostFailures: [FINAL_POWER_LOSS]},
   {
-    ...QUIET,
+    ...NO_FAULTS,
     name: 'cuts-and-all-die',
-    storeCuts: TWO_CUTS,
-    dataCenterCuts: [{hosts: FIRST_DATA_CENTER, from: 33.5, to: 39}],
-    deaths: [LAST_LOSS],
+    storeOutages: TWO_STORE_OUTAGES,
+    dataCenterPartitions: [{hosts: FIRST_DATA_CENTER, from: 33.5, to: 39}],
+    hostFailures: [FINAL_POWER_LOSS],
     burst: {from: 15, to: 21, factor: 2.6},
   },
   {
-    ...QUIET,
+    ...NO_FAULTS,
     name: 'one-dies-early',
-    storeCuts: TWO_CUTS,
-    deaths: [{hosts: [8], from: 4, to: 7}],
+    storeOutages: TWO_STORE_OUTAGES,
+    hostFailures: [{hosts: [8], from: 4, to: 7}],
   },
 ];
 
-/** Ten organisations, a few of them large, some with callers at one host. */
+/** Ten organisations: a few are large, and the callers of some use a single host. */
 export const REPLAY_ORGANISATIONS: readonly ReplayOrganisation[] = [
   {name: 'o0', requestsPerSecond: 8, budgetFactor: 1, host: 4},
   {name: 'o1', requestsPerSecond: 7, budgetFactor: 1.3, host: 1},
--- a/packages/measurements/src/budget-replay.ts
+++ b/packages/measurements/src/budget-replay.ts
@@ -11,9 +11,9 @@
 import {BudgetRecordSchema, type BudgetRecord} from '@wisteriadeal/schema';
 
 import {
-  HOSTS,
+  HOST_COUNT,
   REPLAY_ORGANISATIONS,
-  SECONDS,
+  REPLAY_SECONDS,
   type HostSpan,
   type ReplayOrganisation,
   type ReplayScenario,
@@ -22,27 +22,30 @@
 
 type Change = Exclude<BudgetRecord['change'], {case: undefined}>;
 
-/** What a policy is made of. */
+/** A policy of grant sizes and charging. */
 export interface ReplayPolicy {
   readonly name: string;
   readonly sizing: GrantSizing;
   readonly pooledPart: number;
-  /** The latest moment at which tokens are taken, where the log has plenty. */
+  /** The latest point at which tokens are charged while the log has ample budget. */
   readonly chargePoint: ChargePoint;
 }
 
-/** What callers saw, and what it cost. */
+/** Outcomes for callers, and their cost. */
 export interface ReplayResult {
-  /** Requests that fitted into their budget by what was really used. */
-  readonly owed: number;
-  readonly refusedOwed: number;
+  /**
+   * Requests that fitted into their organisation's budget, by the actual usage before
+   * them.
+   */
+  readonly affordableRequests: number;
+  readonly refusedAffordableRequests: number;
   readonly overspentTokens: number;
-  /** Tokens of all budgets that dead processes had in hand, in parts of the whole. */
+  /** Share of all budgets that failed processes held in grants. */
   readonly strandedPart: number;
   readonly records: number;
 }
 
-/** One process: what it holds, and records that wait for the store. */
+/** A host's process: its grant accounts, and records not yet written to the store. */
 interface ReplayHost {
   readonly index: number;
   incarnation: string;
@@ -57,11 +60,11 @@
   readonly incarnation: string;
   readonly organisation: string;
   readonly bound: number;
-  readonly isOwed: boolean;
-  /** When its first event is there, seconds. */
-  readonly answersAt: number;
-  /** Its tokens are taken when its first event is there. */
-  isPromised: boolean;
+  readonly isAffordable: boolean;
+  /** Time of its first event, in seconds. */
+  readonly firstEventAt: number;
+  /** True if its tokens are to be charged at its first event. */
+  isChargeDeferred: boolean;
 }
 
 interface Totals {
@@ -72,32 +75,32 @@
 
 const MEDIAN_TOKENS = 3_500;
 const TOKENS_SIGMA = 0.8;
-/** Callers are told a bound; about this part of it is used. */
-const USED_PART = 0.91;
-/** This part of a request's time is over before its first event. */
-const UNANSWERED_PART = 0.3;
-const SHORTEST_SECONDS = 0.5;
-const LONGEST_SECONDS = 5;
-/** Holders look at their grants so often. */
-const TURN_SECONDS = 0.7;
-/** A request is owed if it fits into this part of what was paid. */
-const OWED_PART = 0.97;
-const MILLISECONDS = 1_000;
+/** Share of a request's token bound that it actually uses. */
+const USED_SHARE = 0.91;
+/** Share of a request's duration that passes before its first event. */
+const FIRST_EVENT_SHARE = 0.3;
+const MINIMUM_REQUEST_SECONDS = 0.5;
+const MAXIMUM_REQUEST_SECONDS = 5;
+/** Interval at which holders write records and resize their grants. */
+const MAINTENANCE_INTERVAL_SECONDS = 0.7;
+/** A request is affordable if it fits into this share of the prepaid tokens. */
+const AFFORDABLE_SHARE = 0.97;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Replays a day of one budget policy on the fold and the accounts, without sockets
- * or a clock: callers come, the store goes away, hosts die. Every policy meets the
- * same requests.
+ * Replays a scenario under one budget policy on the budget fold and grant accounts,
+ * without sockets or a clock: requests arrive, the store becomes unreachable, and hosts
+ * fail. All policies get the same requests.
  */
 export class BudgetReplay {
   private readonly fold = new BudgetFold();
   private readonly hosts: ReplayHost[];
   private readonly totals = new Map<string, Totals>();
   private running: RunningRequest[] = [];
-  private starts = 0;
-  private owed = 0;
-  private refusedOwed = 0;
-  private stranded = 0;
+  private startedHosts = 0;
+  private affordableRequests = 0;
+  private refusedAffordableRequests = 0;
+  private strandedTokens = 0;
   private records = 0;
   private now = 0;
 
@@ -108,37 +111,37 @@
   ) {
     for (const organisation of REPLAY_ORGANISATIONS) {
       const prepaid = Math.round(
-        usualUse(organisation) * organisation.budgetFactor,
+        expectedTokens(organisation) * organisation.budgetFactor,
       );
       this.totals.set(organisation.name, {prepaid, used: 0, reserved: 0});
     }
-    this.hosts = Array.from({length: HOSTS}, (_unused, index) =>
-      this.opened(index),
+    this.hosts = Array.from({length: HOST_COUNT}, (_unused, index) =>
+      this.openHost(index),
     );
   }
 
-  /** Plays the whole day. */
+  /** Replays the whole scenario. */
   run(): ReplayResult {
-    let nextTurn = 0;
+    let nextMaintenance = 0;
     for (const arrival of this.arrivals()) {
-      while (nextTurn <= arrival.at) {
-        this.moveTo(nextTurn);
-        this.turnAll();
-        nextTurn += TURN_SECONDS;
+      while (nextMaintenance <= arrival.at) {
+        this.advanceTo(nextMaintenance);
+        this.maintainGrants();
+        nextMaintenance += MAINTENANCE_INTERVAL_SECONDS;
       }
-      this.moveTo(arrival.at);
-      this.arrive(arrival);
+      this.advanceTo(arrival.at);
+      this.handleArrival(arrival);
     }
     const totals = [...this.totals.values()];
-    const paid = totals.reduce((sum, {prepaid}) => sum + prepaid, 0);
+    const prepaidTokens = totals.reduce((sum, {prepaid}) => sum + prepaid, 0);
     return {
-      owed: this.owed,
-      refusedOwed: this.refusedOwed,
+      affordableRequests: this.affordableRequests,
+      refusedAffordableRequests: this.refusedAffordableRequests,
       overspentTokens: totals.reduce(
         (sum, {used, prepaid}) => sum + Math.max(0, used - prepaid),
         0,
       ),
-      strandedPart: this.stranded / paid,
+      strandedPart: this.strandedTokens / prepaidTokens,
       records: this.records,
     };
   }
@@ -150,31 +153,31 @@
     yield* all.sort((one, other) => one.at - other.at);
   }
 
-  private moveTo(at: number): void {
-    for (const {hosts, from, to} of this.scenario.deaths) {
+  private advanceTo(at: number): void {
+    for (const {hosts, from, to} of this.scenario.hostFailures) {
       if (this.now < from && from <= at) {
-        this.endUntil(from);
+        this.completeUntil(from);
         hosts.forEach(index => {
-          this.die(index);
+          this.failHost(index);
         });
       }
       if (this.now < to && to <= at) {
-        this.endUntil(to);
+        this.completeUntil(to);
         hosts.forEach(index => {
-          this.hosts[index] = this.opened(index);
+          this.hosts[index] = this.openHost(index);
         });
       }
     }
-    this.endUntil(at);
+    this.completeUntil(at);
     this.now = at;
   }
 
-  private endUntil(at: number): void {
-    this.answerUntil(at);
+  private completeUntil(at: number): void {
+    this.deliverFirstEventsUntil(at);
     const ended = this.running.filter(({endsAt}) => endsAt <= at);
     this.running = this.running.filter(({endsAt}) => endsAt > at);
     for (const {host, incarnation, organisation, bound} of ended) {
-      const used = Math.floor(bound * USED_PART);
+      const used = Math.floor(bound * USED_SHARE);
       this.settleTotals(organisation, bound, used);
       if (host.incarnation === incarnation) {
         accountOf(host, organisation).settle(bound, used);
@@ -182,23 +185,24 @@
     }
   }
 
-  private answerUntil(at: number): void {
-    const due = this.running.filter(
-      ({isPromised, answersAt}) => isPromised && answersAt <= at,
+  private deliverFirstEventsUntil(at: number): void {
+    const dueRequests = this.running.filter(
+      ({isChargeDeferred, firstEventAt}) =>
+        isChargeDeferred && firstEventAt <= at,
     );
-    for (const request of due) {
+    for (const request of dueRequests) {
       const {host, organisation, bound} = request;
-      request.isPromised = false;
-      if (!this.keepPromise(host, organisation, bound)) {
+      request.isChargeDeferred = false;
+      if (!this.chargeDeferred(host, organisation, bound)) {
         accountOf(host, organisation).dropPromise(bound);
         this.running = this.running.filter(each => each !== request);
         this.settleTotals(organisation, bound, 0);
-        this.refusedOwed += request.isOwed ? 1 : 0;
+        this.refusedAffordableRequests += request.isAffordable ? 1 : 0;
       }
     }
   }
 
-  private keepPromise(
+  private chargeDeferred(
     host: ReplayHost,
     organisation: string,
     bound: number,
@@ -208,7 +212,7 @@
       return true;
     }
     if (this.reachesStore(host.index)) {
-      this.ask(host, organisation, bound, bound, true);
+      this.requestGrant(host, organisation, bound, bound, true);
     }
     if (account.keepPromise(bound)) {
       return true;
@@ -217,15 +221,15 @@
     return account.keepPromise(bound);
   }
 
-  private die(index: number): void {
+  private failHost(index: number): void {
     const host = this.host(index);
-    const cut = this.running.filter(running => running.host === host);
+    const interrupted = this.running.filter(running => running.host === host);
     this.running = this.running.filter(running => running.host !== host);
-    for (const {organisation, bound} of cut) {
+    for (const {organisation, bound} of interrupted) {
       this.settleTotals(organisation, bound, 0);
     }
     for (const account of host.accounts.values()) {
-      this.stranded += account.held;
+      this.strandedTokens += account.held;
     }
     host.incarnation = '';
   }
@@ -236,19 +240,19 @@
     totals.used += used;
   }
 
-  private turnAll(): void {
+  private maintainGrants(): void {
     for (const host of this.hosts) {
       if (host.incarnation === '' || !this.reachesStore(host.index)) {
         continue;
       }
-      this.write(host);
+      this.flushRecords(host);
       for (const {name} of REPLAY_ORGANISATIONS) {
-        this.resize(host, name);
+        this.resizeGrant(host, name);
       }
     }
   }
 
-  private resize(host: ReplayHost, organisation: string): void {
+  private resizeGrant(host: ReplayHost, organisation: string): void {
     const account = accountOf(host, organisation);
     const {prepaid} = this.totalsOf(organisation);
     const view = this.fold.view(organisation);
@@ -256,11 +260,11 @@
       account,
       view,
       prepaid,
-      this.now * MILLISECONDS,
+      this.now * MILLISECONDS_PER_SECOND,
     );
     if (change.giveBack > 0) {
       const amount = account.debit(change.giveBack);
-      this.add(host, {
+      this.enqueueRecord(host, {
         case: 'returned',
         value: {
           $typeName: 'wisteriadeal.v1.GrantReturned',
@@ -269,13 +273,13 @@
           held: account.held,
         },
       });
-      this.write(host);
+      this.flushRecords(host);
     } else if (change.wish > 0 || view === undefined) {
-      this.ask(host, organisation, change.wish, change.least, false);
+      this.requestGrant(host, organisation, change.wish, change.least, false);
     }
   }
 
-  private arrive({
+  private handleArrival({
     organisation,
     at,
     bound,
@@ -283,32 +287,33 @@
     host: index,
   }: Arrival): void {
     const totals = this.totalsOf(organisation);
-    const known = totals.used + totals.reserved;
-    const isOwed = known + bound <= OWED_PART * totals.prepaid;
+    const committedTokens = totals.used + totals.reserved;
+    const isAffordable =
+      committedTokens + bound <= AFFORDABLE_SHARE * totals.prepaid;
     const host = this.host(index);
     if (host.incarnation === '') {
       return;
     }
-    this.owed += isOwed ? 1 : 0;
-    const isPromised = this.promise(host, organisation, bound);
-    if (!isPromised && !this.reserve(host, organisation, bound)) {
-      this.refusedOwed += isOwed ? 1 : 0;
+    this.affordableRequests += isAffordable ? 1 : 0;
+    const isChargeDeferred = this.deferCharge(host, organisation, bound);
+    if (!isChargeDeferred && !this.reserve(host, organisation, bound)) {
+      this.refusedAffordableRequests += isAffordable ? 1 : 0;
       return;
     }
     totals.reserved += bound;
     this.running.push({
       endsAt: at + seconds,
-      answersAt: at + UNANSWERED_PART * seconds,
+      firstEventAt: at + FIRST_EVENT_SHARE * seconds,
       host,
       incarnation: host.incarnation,
       organisation,
       bound,
-      isOwed,
-      isPromised,
+      isAffordable,
+      isChargeDeferred,
     });
   }
 
-  private promise(
+  private deferCharge(
     host: ReplayHost,
     organisation: string,
     bound: number,
@@ -318,13 +323,13 @@
     }
     const account = accountOf(host, organisation);
     const view = this.fold.view(organisation);
-    const isLogAtHand = this.reachesStore(host.index);
+    const isLogReachable = this.reachesStore(host.index);
     if (
-      chargePoint(account, view, bound, isLogAtHand) === ChargePoint.Dispatch
+      chargePoint(account, view, bound, isLogReachable) === ChargePoint.Dispatch
     ) {
       return false;
     }
-    account.promise(bound, this.now * MILLISECONDS);
+    account.promise(bound, this.now * MILLISECONDS_PER_SECOND);
     return true;
   }
 
@@ -334,12 +339,12 @@
     bound: number,
   ): boolean {
     const account = accountOf(host, organisation);
-    const now = this.now * MILLISECONDS;
+    const now = this.now * MILLISECONDS_PER_SECOND;
     if (account.reserve(bound, now)) {
       return true;
     }
     if (this.reachesStore(host.index)) {
-      this.ask(host, organisation, bound, bound, true);
+      this.requestGrant(host, organisation, bound, bound, true);
     }
     if (account.reserve(bound, now)) {
       return true;
@@ -356,7 +361,7 @@
       if (account.available >= bound) {
         return;
       }
-      if (lender === undefined || !this.seeEachOther(host, lender)) {
+      if (lender === undefined || !this.canConnect(host, lender)) {
         continue;
       }
       this.lend(lender, host, organisation, bound - account.available);
@@ -367,15 +372,17 @@
     lender: ReplayHost,
     borrower: ReplayHost,
     organisation: string,
-    least: number,
+    minimumTokens: number,
   ): void {
     const account = accountOf(lender, organisation);
-    const amount = account.debit(loanFor(account, least, 3 * least));
+    const amount = account.debit(
+      loanFor(account, minimumTokens, 3 * minimumTokens),
+    );
     if (amount === 0) {
       return;
     }
     accountOf(borrower, organisation).credit(amount);
-    this.add(lender, {
+    this.enqueueRecord(lender, {
       case: 'lent',
       value: {
         $typeName: 'wisteriadeal.v1.GrantLent',
@@ -388,20 +395,20 @@
     });
   }
 
-  private ask(
+  private requestGrant(
     host: ReplayHost,
     organisation: string,
-    wish: number,
-    least: number,
+    requestedTokens: number,
+    minimumTokens: number,
     urgent: boolean,
   ): void {
-    this.add(host, {
+    this.enqueueRecord(host, {
       case: 'requested',
       value: {
         $typeName: 'wisteriadeal.v1.GrantRequested',
         organisation,
-        wish,
-        least,
+        wish: requestedTokens,
+        least: minimumTokens,
         urgent,
         prepaid: this.totalsOf(organisation).prepaid,
         configurationVersion: 1,
@@ -409,18 +416,18 @@
         pooledPart: this.policy.pooledPart,
       },
     });
-    this.write(host);
+    this.flushRecords(host);
   }
 
-  private opened(index: number): ReplayHost {
+  private openHost(index: number): ReplayHost {
     const host: ReplayHost = {
       index,
-      incarnation: `start-${this.starts++}`,
+      incarnation: `start-${this.startedHosts++}`,
       sequence: 0,
       accounts: new Map(),
       pending: [],
     };
-    this.add(host, {
+    this.enqueueRecord(host, {
       case: 'opened',
       value: {
         $typeName: 'wisteriadeal.v1.HolderOpened',
@@ -431,7 +438,7 @@
     return host;
   }
 
-  private add(host: ReplayHost, change: Change): void {
+  private enqueueRecord(host: ReplayHost, change: Change): void {
     host.sequence++;
     const {incarnation, sequence} = host;
     host.pending.push(
@@ -439,7 +446,7 @@
     );
   }
 
-  private write(host: ReplayHost): void {
+  private flushRecords(host: ReplayHost): void {
     for (const record of host.pending.splice(0)) {
       this.records++;
       const outcome = this.fold.apply(record);
@@ -450,15 +457,15 @@
   }
 
   private reachesStore(host: number): boolean {
-    const {storeCuts, dataCenterCuts} = this.scenario;
-    return !this.isWithin([...storeCuts, ...dataCenterCuts], host);
+    const {storeOutages, dataCenterPartitions} = this.scenario;
+    return !this.isWithin([...storeOutages, ...dataCenterPartitions], host);
   }
 
-  private seeEachOther(one: ReplayHost, other: ReplayHost): boolean {
-    const {dataCenterCuts} = this.scenario;
+  private canConnect(one: ReplayHost, other: ReplayHost): boolean {
+    const {dataCenterPartitions} = this.scenario;
     return (
-      this.isWithin(dataCenterCuts, one.index) ===
-      this.isWithin(dataCenterCuts, other.index)
+      this.isWithin(dataCenterPartitions, one.index) ===
+      this.isWithin(dataCenterPartitions, other.index)
     );
   }
 
@@ -472,7 +479,7 @@
   private host(index: number): ReplayHost {
     const host = this.hosts[index];
     if (host === undefined) {
-      throw new RangeError(`no host ${index}`);
+      throw new RangeError(`host index ${index} does not exist`);
     }
     return host;
   }
@@ -480,7 +487,7 @@
   private totalsOf(name: string): Totals {
     const totals = this.totals.get(name);
     if (totals === undefined) {
-      throw new RangeError(`no organisation ${name}`);
+      throw new RangeError(`organisation ${name} does not exist`);
     }
     return totals;
   }
@@ -510,7 +517,7 @@
       at < burst.to;
     const factor = isBurst ? burst.factor : 1;
     at += random.exponential(1 / (requestsPerSecond * factor));
-    if (at >= SECONDS) {
+    if (at >= REPLAY_SECONDS) {
       return arrivals;
     }
     arrivals.push({
@@ -518,16 +525,16 @@
       organisation: name,
       bound: Math.ceil(random.logNormal(MEDIAN_TOKENS, TOKENS_SIGMA)),
       seconds:
-        SHORTEST_SECONDS +
-        random.fraction() * (LONGEST_SECONDS - SHORTEST_SECONDS),
-      host: host ?? random.between(0, HOSTS - 1),
+        MINIMUM_REQUEST_SECONDS +
+        random.fraction() * (MAXIMUM_REQUEST_SECONDS - MINIMUM_REQUEST_SECONDS),
+      host: host ?? random.between(0, HOST_COUNT - 1),
     });
   }
 }
 
-function usualUse({requestsPerSecond}: ReplayOrganisation): number {
+function expectedTokens({requestsPerSecond}: ReplayOrganisation): number {
   const mean = MEDIAN_TOKENS * Math.exp(TOKENS_SIGMA ** 2 / 2);
-  return requestsPerSecond * SECONDS * mean * USED_PART;
+  return requestsPerSecond * REPLAY_SECONDS * mean * USED_SHARE;
 }
 
 function accountOf(host: ReplayHost, organisation: string): GrantAccount {
--- a/packages/measurements/src/cases/budget-reserve-case.ts
+++ b/packages/measurements/src/cases/budget-reserve-case.ts
@@ -8,7 +8,7 @@
 } from '@wisteriadeal/budgets';
 
 import {
-  HOSTS,
+  HOST_COUNT,
   REPLAY_SCENARIOS,
   type ReplayScenario,
 } from '../budget-replay-scenarios.js';
@@ -19,7 +19,10 @@
 } from '../budget-replay.js';
 import {MeasureCase, type CaseResult} from '../measure-case.js';
 
-/** Every host gets its even part of the whole budget at once, and keeps it. */
+/**
+ * Grants every host an equal share of the prepaid budget once, and never returns any of
+ * it.
+ */
 class EqualSplitSizing extends GrantSizing {
   override change(
     account: GrantAccount,
@@ -27,15 +30,17 @@
     prepaid: number,
   ): GrantChange {
     const isFirst = account.held === 0 && account.spent === 0;
-    const wish = isFirst ? Math.floor(prepaid / HOSTS) : 0;
-    return {wish, least: wish, giveBack: 0};
+    const requested = isFirst ? Math.floor(prepaid / HOST_COUNT) : 0;
+    return {wish: requested, least: requested, giveBack: 0};
   }
 }
 
 const CHARGE_POINTS = [ChargePoint.Dispatch, ChargePoint.Delivery];
 const POOLED_PARTS = [0.2, 0.4, 0.6, 0.8, 1];
 const RESERVE_SECONDS = [6, 12, 20, 30];
-/** Each seed gives other requests; a single one differs by some refusals. */
+/**
+ * Each seed draws different requests; results of single seeds differ by a few refusals.
+ */
 const SEEDS_PER_RUN = 5;
 
 const POLICIES: readonly ReplayPolicy[] = [
@@ -57,14 +62,17 @@
   ),
 ];
 
-/** How large grants should be, on the pure fold and accounts. */
+/**
+ * Compares policies of grant size and charge point, by replays on the budget fold and
+ * grant accounts alone.
+ */
 export class BudgetReserveCase extends MeasureCase {
   override readonly name = 'budget-reserve';
   override readonly description =
-    'false refusals and stranded tokens by size of grants and moment of charging';
+    'false refusals and stranded tokens, by grant size and by the time of charging';
 
   override run(seed: number): Promise<CaseResult> {
-    const rows = POLICIES.map(policy => rowOf(policy, seed));
+    const rows = POLICIES.map(policy => summarizePolicy(policy, seed));
     return Promise.resolve({
       passed: rows.every(({overspentTokens}) => overspentTokens === 0),
       fields: {rows},
@@ -72,27 +80,34 @@
   }
 }
 
-function rowOf(policy: ReplayPolicy, seed: number) {
+function summarizePolicy(policy: ReplayPolicy, seed: number) {
   const results = REPLAY_SCENARIOS.map(scenario => ({
     scenario: scenario.name,
-    ...sumOf(scenario, policy, seed),
+    ...summarizeScenario(scenario, policy, seed),
   }));
-  const refused = results.map(({refusedPart}) => refusedPart);
+  const refusedParts = results.map(({refusedPart}) => refusedPart);
   return {
     policy: policy.name,
-    meanRefusedPart: round(sum(refused) / refused.length),
+    meanRefusedPart: round(sum(refusedParts) / refusedParts.length),
     overspentTokens: sum(results.map(each => each.overspentTokens)),
     results,
   };
 }
 
-function sumOf(scenario: ReplayScenario, policy: ReplayPolicy, seed: number) {
+function summarizeScenario(
+  scenario: ReplayScenario,
+  policy: ReplayPolicy,
+  seed: number,
+) {
   const runs = Array.from({length: SEEDS_PER_RUN}, (_unused, index) =>
     new BudgetReplay(scenario, policy, seed + index).run(),
   );
   const total = (pick: (run: ReplayResult) => number) => sum(runs.map(pick));
   return {
-    refusedPart: round(total(run => run.refusedOwed) / total(run => run.owed)),
+    refusedPart: round(
+      total(run => run.refusedAffordableRequests) /
+        total(run => run.affordableRequests),
+    ),
     strandedPart: round(total(run => run.strandedPart) / runs.length),
     overspentTokens: total(run => run.overspentTokens),
     records: Math.round(total(run => run.records) / runs.length),
--- a/packages/measurements/src/decisions-arrivals.ts
+++ b/packages/measurements/src/decisions-arrivals.ts
@@ -7,9 +7,11 @@
 } from './decisions-workload.js';
 
 /**
- * Offers an organisation's requests: a Poisson process, thinned to the rate of
- * the moment, so that the same seed draws the same requests whatever the
- * policies are.
+ * Schedules an organisation's requests as a Poisson process at the peak rate, thinned
+ * to the current rate, so that a seed draws the same requests under all policies.
+ *
+ * @param until Time of the last arrival, in milliseconds.
+ * @param offer Receives each request when it arrives.
  */
 export function scheduleArrivals(
   demand: Demand,
--- a/packages/measurements/src/decisions-attempt.ts
+++ b/packages/measurements/src/decisions-attempt.ts
@@ -4,12 +4,12 @@
 import type {DecisionsTally} from './decisions-tally.js';
 import type {CallerRequest} from './decisions-workload.js';
 
-/** One try of one request. */
+/** An attempt at a request; each retry is a new attempt. */
 export interface Attempt {
   readonly requestId: string;
   readonly request: CallerRequest;
   readonly offeredAt: number;
-  readonly triesLeft: number;
+  readonly remainingTries: number;
   readonly isCounted: boolean;
   engine: ModelledEngine | undefined;
   sequence: Sequence | undefined;
@@ -17,7 +17,7 @@
   hasEnded: boolean;
 }
 
-/** What the router knows of an attempt. */
+/** Returns an attempt as the work item that the router places. */
 export function workItemOf(
   attempt: Attempt,
   service: string,
@@ -40,7 +40,7 @@
   };
 }
 
-/** What the engine gets to work on. */
+/** Returns an attempt as the sequence that an engine processes. */
 export function sequenceOf({requestId, request}: Attempt): Sequence {
   return {
     requestId,
@@ -49,12 +49,12 @@
     prefixes: request.prefixes,
     priority: request.workClass === WorkClass.Interactive ? 0 : 1,
     cachedTokens: 0,
-    prefillLeft: request.promptTokens,
-    generated: 0,
+    remainingPrefillTokens: request.promptTokens,
+    generatedTokens: 0,
   };
 }
 
-/** Counts what an engine did for an attempt that has ended. */
+/** Records the engine's work for an attempt that has ended. */
 export function countWork(
   tally: DecisionsTally,
   request: CallerRequest,
@@ -62,11 +62,14 @@
   isAnswered: boolean,
 ): void {
   if (isAnswered) {
-    const shared = request.prefixes.at(-1)?.tokens ?? 0;
-    tally.answer(request);
-    tally.prefix(shared, sequence.cachedTokens);
+    const sharedTokens = request.prefixes.at(-1)?.tokens ?? 0;
+    tally.recordAnswer(request);
+    tally.recordPrefixTokens(sharedTokens, sequence.cachedTokens);
   }
-  const left = Math.max(0, sequence.prefillLeft);
-  const worked = request.promptTokens - sequence.cachedTokens - left;
-  tally.spend(Math.max(0, worked) + sequence.generated, !isAnswered);
+  const remaining = Math.max(0, sequence.remainingPrefillTokens);
+  const prefilled = request.promptTokens - sequence.cachedTokens - remaining;
+  tally.recordSpentTokens(
+    Math.max(0, prefilled) + sequence.generatedTokens,
+    !isAnswered,
+  );
 }
--- a/packages/measurements/src/decisions-case.ts
+++ b/packages/measurements/src/decisions-case.ts
@@ -6,25 +6,25 @@
 import type {DecisionsFigures} from './decisions-tally.js';
 import type {WorkShape} from './decisions-workload.js';
 
-/** Figures of one variant, such as one load, of a case. */
+/** Figures of one variant of a case, such as one load level. */
 export interface DecisionsVariant {
   readonly name: string;
   readonly chosen: DecisionsFigures;
   readonly baseline: DecisionsFigures;
 }
 
-/** What one case printed. */
+/** The report of a case. */
 export interface DecisionsReport {
   readonly name: string;
   readonly seed: number;
-  /** Work share and requests a second of a fleet that never runs dry. */
+  /** Useful work share and requests per second of a fleet with a permanent backlog. */
   readonly capacityWorkShare: number;
   readonly capacityRequestsPerSecond: number;
   readonly variants: readonly DecisionsVariant[];
   readonly goals: readonly DecisionsGoal[];
 }
 
-/** A goal of the chosen policies, and whether it was met. */
+/** A goal for the chosen policies, with the measured value. */
 export interface DecisionsGoal {
   readonly goal: string;
   readonly limit: number;
@@ -32,13 +32,13 @@
   readonly isMet: boolean;
 }
 
-/** Compares what was measured with the goals. */
-export type Judge = (
+/** Compares the measured figures with the goals. */
+export type GoalCheck = (
   variants: readonly DecisionsVariant[],
   capacityWorkShare: number,
 ) => readonly DecisionsGoal[];
 
-/** One named case. */
+/** A named simulation case. */
 export interface DecisionsCase {
   readonly name: string;
   readonly description: string;
@@ -47,13 +47,17 @@
 
 type Changes = Partial<Simulation> & Pick<Simulation, 'demands'>;
 
-function both(name: string, seed: number, changes: Changes): DecisionsVariant {
-  const play = (createPolicies: Simulation['createPolicies']) =>
+function runVariant(
+  name: string,
+  seed: number,
+  changes: Changes,
+): DecisionsVariant {
+  const simulate = (createPolicies: Simulation['createPolicies']) =>
     new SimulationRun(simulation(seed, {...changes, createPolicies})).run();
   return {
     name,
-    chosen: play(chosenPolicies),
-    baseline: play(baselinePolicies),
+    chosen: simulate(chosenPolicies),
+    baseline: simulate(baselinePolicies),
   };
 }
 
@@ -64,10 +68,13 @@
   readonly variants: (
     rate: number,
   ) => readonly {readonly name: string; readonly changes: Changes}[];
-  readonly judge?: Judge;
+  readonly checkGoals?: GoalCheck;
 }
 
-/** Makes a case that plays both sets of policies under the same seed. */
+/**
+ * Creates a case that simulates the chosen and the baseline policies under the same
+ * seed.
+ */
 export function decisionsCase(plan: CasePlan): DecisionsCase {
   const name = `decisions-${plan.name}`;
   return {
@@ -77,14 +84,14 @@
       const capacity = measureCapacity(seed, plan.shapes);
       const variants = plan
         .variants(capacity.requestsPerSecond)
-        .map(variant => both(variant.name, seed, variant.changes));
+        .map(variant => runVariant(variant.name, seed, variant.changes));
       return {
         name,
         seed,
         capacityWorkShare: capacity.workShare,
         capacityRequestsPerSecond: capacity.requestsPerSecond,
         variants,
-        goals: plan.judge?.(variants, capacity.workShare) ?? [],
+        goals: plan.checkGoals?.(variants, capacity.workShare) ?? [],
       };
     },
   };
@@ -94,7 +101,7 @@
   return Math.round(value * 1_000) / 1_000;
 }
 
-/** A goal that is met by what is not above its limit. */
+/** Returns a goal that is met if the measured value is at most the limit. */
 export function atMost(
   goal: string,
   limit: number,
@@ -103,7 +110,7 @@
   return {goal, limit, measured: rounded(measured), isMet: measured <= limit};
 }
 
-/** A goal that is met by what is not below its limit. */
+/** Returns a goal that is met if the measured value is at least the limit. */
 export function atLeast(
   goal: string,
   limit: number,
@@ -112,11 +119,14 @@
   return {goal, limit, measured: rounded(measured), isMet: measured >= limit};
 }
 
-/** Interactive p99 to first token of one variant over that of another. */
+/**
+ * Returns the ratio of two variants' interactive p99 time to the first token, under the
+ * chosen policies.
+ */
 export function p99Ratio(
-  over: DecisionsVariant | undefined,
-  under: DecisionsVariant | undefined,
+  numerator: DecisionsVariant | undefined,
+  denominator: DecisionsVariant | undefined,
 ): number {
-  const base = under?.chosen.interactiveP99Milliseconds ?? 0;
-  return (over?.chosen.interactiveP99Milliseconds ?? Infinity) / base;
+  const base = denominator?.chosen.interactiveP99Milliseconds ?? 0;
+  return (numerator?.chosen.interactiveP99Milliseconds ?? Infinity) / base;
 }
--- a/packages/measurements/src/decisions-cases.ts
+++ b/packages/measurements/src/decisions-cases.ts
@@ -1,15 +1,15 @@
 import {decisionsCase, type DecisionsCase} from './decisions-case.js';
 import {
   demands,
-  fleet,
+  modelledFleet,
   NORMAL_MIX,
   WARM_UP_MILLISECONDS,
 } from './decisions-fleet.js';
 import {
-  HEAVY_POSITION,
-  judgeSaturation,
-  judgeSkew,
-  judgeSlow,
+  HEAVY_ORGANISATION_INDEX,
+  checkSaturationGoals,
+  checkSkewGoals,
+  checkSlowEndpointGoals,
 } from './decisions-goals.js';
 import {TUTOR_REPLY, type WorkShape} from './decisions-workload.js';
 
@@ -24,7 +24,7 @@
 
 const burst = decisionsCase({
   name: 'burst',
-  description: 'four times a quiet load for 2 s, every 15 s',
+  description: 'four times a moderate load for 2 s, every 15 s',
   variants: rate => [
     {
       name: '0.6 of capacity, 4 times that for 2 s every 15 s',
@@ -48,7 +48,7 @@
 const skewedDemand = decisionsCase({
   name: 'skewed-demand',
   description: 'one organisation at ten times its share',
-  judge: judgeSkew,
+  checkGoals: checkSkewGoals,
   variants: rate => [
     {
       name: 'all within their shares, 0.95 of capacity',
@@ -60,8 +60,8 @@
         demands: demands(
           0.95 * rate,
           NORMAL_MIX,
-          position => (position === HEAVY_POSITION ? HEAVY_SCALE : 1),
-          position => (position === HEAVY_POSITION ? HEAVY_SCALE : 1),
+          position => (position === HEAVY_ORGANISATION_INDEX ? HEAVY_SCALE : 1),
+          position => (position === HEAVY_ORGANISATION_INDEX ? HEAVY_SCALE : 1),
         ),
       },
     },
@@ -74,19 +74,22 @@
 const slowEndpoint = decisionsCase({
   name: 'slow-endpoint',
   description: 'one endpoint of eight ten times slower',
-  judge: judgeSlow,
+  checkGoals: checkSlowEndpointGoals,
   variants: rate => {
     const slowFrom = WARM_UP_MILLISECONDS - DETECTION_MILLISECONDS;
     return [
       {
         name: 'without the endpoint, 0.7 of capacity',
-        changes: {demands: demands(0.7 * rate), engines: fleet(() => ({}), 7)},
+        changes: {
+          demands: demands(0.7 * rate),
+          engines: modelledFleet(() => ({}), 7),
+        },
       },
       {
         name: 'one endpoint ten times slower, from 5 s on',
         changes: {
           demands: demands(0.7 * rate),
-          engines: fleet(position => ({
+          engines: modelledFleet(position => ({
             slowness: now =>
               position === 0 && now > slowFrom ? SLOW_FACTOR : 1,
           })),
@@ -96,7 +99,7 @@
         name: 'one endpoint ten times slower, the first 5 s counted too',
         changes: {
           demands: demands(0.7 * rate),
-          engines: fleet(position => ({
+          engines: modelledFleet(position => ({
             slowness: now =>
               position === 0 && now > WARM_UP_MILLISECONDS ? SLOW_FACTOR : 1,
           })),
@@ -144,14 +147,17 @@
 
 const SATURATION_LOADS = [0.8, 1, 1.5, 3];
 
-/** Where all work is urgent, a queue without limit serves nobody in time. */
+/**
+ * When all work is interactive, an unbounded queue lets every request miss its
+ * deadline.
+ */
 const ONLY_TUTOR_REPLIES: readonly WorkShape[] = [{...TUTOR_REPLY, share: 1}];
 const REPLY_SCALE = 2;
 
 const saturation = decisionsCase({
   name: 'saturation',
   description: '0.8, 1, 1.5 and 3 times capacity',
-  judge: judgeSaturation,
+  checkGoals: checkSaturationGoals,
   variants: rate => [
     ...SATURATION_LOADS.map(load => ({
       name: `${load} of capacity`,
@@ -171,11 +177,11 @@
 
 const retryStorm = decisionsCase({
   name: 'retry-storm',
-  description: 'callers of a 10 s overload try again up to three times',
+  description: 'callers retry up to three times during a 10 s overload',
   variants: rate =>
-    [true, false].map(obeysReturnTime => ({
+    [true, false].map(honoursRetryAfter => ({
       name: `0.8 of capacity, 3 times that for 10 s, callers ${
-        obeysReturnTime ? 'obey the time to return' : 'try again at once'
+        honoursRetryAfter ? 'obey the time to return' : 'try again at once'
       }`,
       changes: {
         demands: demands(
@@ -187,14 +193,14 @@
               : 1,
           () => STORM_SCALE,
         ),
-        callers: {retries: STORM_RETRIES, obeysReturnTime},
+        callers: {retries: STORM_RETRIES, honoursRetryAfter},
       },
     })),
 });
 
 const cacheEvents = decisionsCase({
   name: 'late-and-gappy-cache-events',
-  description: 'engines announce cached prefixes late and with gaps',
+  description: 'cache events of the engines are delayed and partly lost',
   variants: rate => [
     {
       name: 'events after 0.5 s, none lost',
@@ -207,7 +213,7 @@
         reports: {
           intervalMilliseconds: 500,
           lagMilliseconds: 5_000,
-          lostCacheEvents: 0.5,
+          lostCacheEventShare: 0.5,
         },
       },
     },
@@ -229,11 +235,11 @@
           0.6 * rate,
           NORMAL_MIX,
           (position, now) =>
-            position === HEAVY_POSITION &&
+            position === HEAVY_ORGANISATION_INDEX &&
             isWithin(now, FLASH_FROM_MILLISECONDS, FLASH_MILLISECONDS)
               ? FLASH_SCALE
               : 1,
-          position => (position === HEAVY_POSITION ? FLASH_SCALE : 1),
+          position => (position === HEAVY_ORGANISATION_INDEX ? FLASH_SCALE : 1),
         ),
       },
     },
@@ -245,14 +251,15 @@
 
 const dataCenterShift = decisionsCase({
   name: 'data-center-shift',
-  description: 'one data centre at twice its capacity beside idle ones',
+  description:
+    'one data centre loaded to twice its capacity while others are idle',
   variants: rate =>
-    [3, 60].map(tripMilliseconds => ({
-      name: `twice the own capacity beside two idle data centres ${tripMilliseconds} ms away`,
+    [3, 60].map(roundTripMilliseconds => ({
+      name: `twice the own capacity beside two idle data centres ${roundTripMilliseconds} ms away`,
       changes: {
         demands: demands(2 * rate),
-        tripMilliseconds,
-        engines: fleet(
+        roundTripMilliseconds,
+        engines: modelledFleet(
           position =>
             position < LOCAL_ENGINES
               ? {}
@@ -263,7 +270,7 @@
     })),
 });
 
-/** All cases of the decisions under load. */
+/** All cases that simulate placement decisions under load. */
 export const DECISIONS_CASES: readonly DecisionsCase[] = [
   burst,
   skewedDemand,
--- a/packages/measurements/src/decisions-cost.ts
+++ b/packages/measurements/src/decisions-cost.ts
@@ -11,11 +11,11 @@
 
 import {SeededRandom} from './decisions-random.js';
 
-/** What one size cost. */
+/** Processor time of decisions at one fleet and queue size. */
 export interface DecisionCost {
   readonly endpoints: number;
   readonly queued: number;
-  /** Median over batches: one request offered and one ended. */
+  /** Median over batches of the time to offer one request and end another. */
   readonly microsecondsPerRequest: number;
 }
 
@@ -23,21 +23,21 @@
 const ORGANISATIONS = 100;
 const PREFIXES = 1_000;
 const BATCHES = 60;
-const REQUESTS_OF_A_BATCH = 500;
-/** Batches before the compiler has settled. */
+const REQUESTS_PER_BATCH = 500;
+/** Batches left out because the just-in-time compiler is still optimising. */
 const WARM_UP_BATCHES = 20;
-const FAR_AWAY = 1e9;
+const EFFECTIVELY_UNLIMITED = 1e9;
 const FILLED_SHARE = 0.7;
 
-/** Keeps the queue at its size: nothing is refused early. */
-class PatientRefusal extends DeadlineRefusal {
+/** Refuses no request early, so that the queue keeps its size. */
+class NoEarlyRefusal extends DeadlineRefusal {
   override refuse(): undefined {
     return undefined;
   }
 }
 
-/** A core with so many endpoints, and so many requests waiting. */
-class CostBench {
+/** Benchmarks a load core with a given number of endpoints and queued requests. */
+class DecisionBenchmark {
   private readonly random: SeededRandom;
   private readonly core: LoadCore;
   private readonly running: {requestId: string; endpoint: string}[] = [];
@@ -53,9 +53,9 @@
     const fraction = () => this.random.fraction();
     this.core = new LoadCore({
       dataCenter: 'kigali-1',
-      maximumQueuedRequests: FAR_AWAY,
+      maximumQueuedRequests: EFFECTIVELY_UNLIMITED,
       fraction,
-      policies: {...chosenPolicies(fraction), refusal: new PatientRefusal()},
+      policies: {...chosenPolicies(fraction), refusal: new NoEarlyRefusal()},
     });
     const list = Array.from({length: endpoints}, (_, position) => ({
       endpoint: `engine-${position}`,
@@ -68,27 +68,27 @@
     this.core.updateEndpoints(list, 0);
   }
 
-  /** Microseconds for each request of the median batch. */
+  /** Returns the microseconds per request of the median batch. */
   run(): number {
     this.fill();
     const times: number[] = [];
     for (let batch = 0; batch < BATCHES; batch++) {
       const startedAt = performance.now();
-      for (let request = 0; request < REQUESTS_OF_A_BATCH; request++) {
+      for (let request = 0; request < REQUESTS_PER_BATCH; request++) {
         this.now += 1;
         this.offer();
         this.finishOne();
       }
       const elapsed = performance.now() - startedAt;
       if (batch >= WARM_UP_BATCHES) {
-        times.push((elapsed * 1_000) / REQUESTS_OF_A_BATCH);
+        times.push((elapsed * 1_000) / REQUESTS_PER_BATCH);
       }
     }
     times.sort((left, right) => left - right);
     return times[Math.floor(times.length / 2)] ?? 0;
   }
 
-  /** With a queue all slots are taken; without one, most of them. */
+  /** Fills all slots if requests are to be queued, and 70 % of them otherwise. */
   private fill(): void {
     const slots = this.endpoints * SLOTS;
     const requests =
@@ -102,9 +102,11 @@
 
   private offer(): void {
     const decision = this.core.offer(this.nextItem(), this.now);
-    this.note(decision);
+    this.trackPlacement(decision);
     if (decision.kind === DecisionKind.Refuse) {
-      throw new Error(`${decision.requestId} refused: ${decision.reason}`);
+      throw new Error(
+        `benchmark request ${decision.requestId} was refused: ${decision.reason}`,
+      );
     }
   }
 
@@ -127,11 +129,11 @@
       outputTokens: 80,
     };
     for (const decision of this.core.finished(requestId, result, this.now)) {
-      this.note(decision);
+      this.trackPlacement(decision);
     }
   }
 
-  private note(decision: Decision): void {
+  private trackPlacement(decision: Decision): void {
     if (decision.kind === DecisionKind.Place) {
       const {requestId, endpoint} = decision;
       this.running.push({requestId, endpoint});
@@ -150,18 +152,22 @@
       promptTokens: 800,
       maximumOutputTokens: 133,
       prefixHashes: ['service', `prefix-${this.random.between(1, PREFIXES)}`],
-      deadlineAt: FAR_AWAY + this.random.fraction() * FAR_AWAY,
+      deadlineAt:
+        EFFECTIVELY_UNLIMITED + this.random.fraction() * EFFECTIVELY_UNLIMITED,
     };
   }
 }
 
-/** Measures one size; the time depends on the machine, its growth does not. */
+/**
+ * Measures one size. The times depend on the machine; how they grow with the size
+ * doesn't.
+ */
 export function measureDecisionCost(
   seed: number,
   endpoints: number,
   queued: number,
 ): DecisionCost {
-  const bench = new CostBench(seed, endpoints, queued);
+  const bench = new DecisionBenchmark(seed, endpoints, queued);
   const microseconds = bench.run();
   return {
     endpoints,
--- a/packages/measurements/src/decisions-engine.ts
+++ b/packages/measurements/src/decisions-engine.ts
@@ -1,25 +1,28 @@
-/** What a modelled engine is like. Times in milliseconds. */
+/** Parameters of a modelled engine; all times are in milliseconds. */
 export interface EngineModel {
   readonly endpoint: string;
   readonly dataCenter: string;
-  /** Sequences in one batch. */
+  /** Maximum number of sequences in a batch. */
   readonly slots: number;
-  /** Tokens of prompt prefixes that its cache holds. */
+  /** Capacity of the prefix cache, in tokens. */
   readonly cacheTokens: number;
-  /** Multiplies the time of each step; may change with time. */
+  /** Factor on the duration of each step; may depend on the time. */
   readonly slowness: (now: number) => number;
 }
 
-/** A step of an empty batch. */
+/** Duration of a step with an empty batch. */
 const BASE_STEP_MILLISECONDS = 20;
-/** Added by each sequence of the batch. */
+/** Additional duration for each sequence in the batch. */
 const SEQUENCE_STEP_MILLISECONDS = 0.75;
-/** Added by each prompt token worked on in the step. */
+/** Additional duration for each prompt token processed in the step. */
 const PREFILL_TOKEN_MILLISECONDS = 0.08;
-/** Prompt tokens worked on in one step, over all sequences. */
+/** Maximum number of prompt tokens processed in a step, over all sequences. */
 const PREFILL_TOKENS_PER_STEP = 512;
 
-/** Engine time that a request takes in batches of so many, without any cache. */
+/**
+ * Returns the engine time of a request in full batches of `slots` sequences, without
+ * cache hits.
+ */
 export function workMilliseconds(
   promptTokens: number,
   outputTokens: number,
@@ -29,44 +32,47 @@
   return promptTokens * PREFILL_TOKEN_MILLISECONDS + outputTokens * token;
 }
 
-/** One request at an engine. */
+/** A request that an engine processes. */
 export interface Sequence {
   readonly requestId: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Cumulative: prefix i covers so many tokens of the prompt. */
+  /** Nested prefixes of the prompt; `tokens` counts from the start of the prompt. */
   readonly prefixes: readonly {
     readonly hash: string;
     readonly tokens: number;
   }[];
-  /** Lower goes first, as engines honour priorities. */
+  /** Prompts with a lower value are processed first, as real engines honour priorities. */
   readonly priority: number;
-  /** Tokens found in the cache; set when it starts. */
+  /** Prompt tokens found in the cache; set when the sequence starts. */
   cachedTokens: number;
-  prefillLeft: number;
-  generated: number;
+  remainingPrefillTokens: number;
+  generatedTokens: number;
 }
 
-/** What one step of the batch brought. */
+/** Sequences that produced their first token, or finished, in a step. */
 export interface StepResult {
   readonly firstTokens: readonly Sequence[];
   readonly finished: readonly Sequence[];
 }
 
 /**
- * A model engine that batches continuously: every step gives each running
- * sequence one token, and takes longer the more sequences there are and the more
- * prompt tokens it works on beside them.
+ * A model of an engine with continuous batching. Each step generates one token for
+ * every running sequence whose prompt has been processed; its duration grows with the
+ * number of running sequences and of prompt tokens processed in the step.
  */
 export class ModelledEngine {
   private readonly running = new Set<Sequence>();
   private readonly waiting: Sequence[] = [];
-  /** Least recently used first. */
+  /**
+   * Tokens that each prefix adds to the one before it, by hash; least recently used
+   * first.
+   */
   private readonly cache = new Map<string, number>();
   private cachedTotal = 0;
   private stepPrefill = new Map<Sequence, number>();
-  /** Hashes that entered the cache since the last report. */
-  announced: string[] = [];
+  /** Hashes added to the cache since the last report. */
+  unreportedHashes: string[] = [];
   cacheSequence = 0;
 
   constructor(readonly model: EngineModel) {}
@@ -95,7 +101,7 @@
     }
   }
 
-  /** Begins a step; returns how long it takes. */
+  /** Starts a step and returns its duration in milliseconds. */
   beginStep(now: number): number {
     while (this.running.size < this.model.slots) {
       const next = this.waiting.shift();
@@ -117,20 +123,20 @@
     );
   }
 
-  /** Ends the step that was begun. */
+  /** Ends the current step. */
   endStep(): StepResult {
     const firstTokens: Sequence[] = [];
     const finished: Sequence[] = [];
     for (const sequence of this.running) {
-      sequence.prefillLeft -= this.stepPrefill.get(sequence) ?? 0;
-      if (sequence.prefillLeft > 0) {
+      sequence.remainingPrefillTokens -= this.stepPrefill.get(sequence) ?? 0;
+      if (sequence.remainingPrefillTokens > 0) {
         continue;
       }
-      sequence.generated++;
-      if (sequence.generated === 1) {
+      sequence.generatedTokens++;
+      if (sequence.generatedTokens === 1) {
         firstTokens.push(sequence);
       }
-      if (sequence.generated >= sequence.outputTokens) {
+      if (sequence.generatedTokens >= sequence.outputTokens) {
         finished.push(sequence);
         this.running.delete(sequence);
       }
@@ -140,15 +146,15 @@
 
   private planPrefill(): Map<Sequence, number> {
     const plan = new Map<Sequence, number>();
-    let left = PREFILL_TOKENS_PER_STEP;
+    let remaining = PREFILL_TOKENS_PER_STEP;
     const byPriority = [...this.running].sort(
       (first, second) => first.priority - second.priority,
     );
     for (const sequence of byPriority) {
-      const tokens = Math.min(left, sequence.prefillLeft);
+      const tokens = Math.min(remaining, sequence.remainingPrefillTokens);
       if (tokens > 0) {
         plan.set(sequence, tokens);
-        left -= tokens;
+        remaining -= tokens;
       }
     }
     return plan;
@@ -157,16 +163,17 @@
   private start(sequence: Sequence): void {
     const hit = sequence.prefixes.findLast(({hash}) => this.cache.has(hash));
     sequence.cachedTokens = hit?.tokens ?? 0;
-    // The last prompt token is always worked on: it gives the first output.
-    sequence.prefillLeft = Math.max(
+    // The last prompt token is always processed, because it produces the first output
+    // token.
+    sequence.remainingPrefillTokens = Math.max(
       1,
       sequence.promptTokens - sequence.cachedTokens,
     );
     this.running.add(sequence);
-    this.remember(sequence);
+    this.updateCache(sequence);
   }
 
-  private remember(sequence: Sequence): void {
+  private updateCache(sequence: Sequence): void {
     let covered = 0;
     for (const {hash, tokens} of sequence.prefixes) {
       const own = tokens - covered;
@@ -174,7 +181,7 @@
       if (this.cache.delete(hash)) {
         this.cachedTotal -= own;
       } else {
-        this.announced.push(hash);
+        this.unreportedHashes.push(hash);
         this.cacheSequence++;
       }
       this.cache.set(hash, own);
--- a/packages/measurements/src/decisions-fleet.ts
+++ b/packages/measurements/src/decisions-fleet.ts
@@ -14,27 +14,32 @@
   type WorkShape,
 } from './decisions-workload.js';
 
-/** As many engines as the tutor models have today. */
+/** The current number of engines for the tutor models. */
 const ENGINES = 8;
 const SLOTS = 16;
-/** Enough for about twenty scenarios' prompts. */
+/** Enough for the prompts of about 20 scenarios. */
 const CACHE_TOKENS = 16_000;
 
-/** Offered load stands for this long before it is measured. */
+/** Time under load before the measurement starts. */
 export const WARM_UP_MILLISECONDS = 15_000;
 export const MEASURED_MILLISECONDS = 240_000;
 
 /** About ten organisations, a few of them large. */
 const WEIGHTS = [4, 3, 2, 1, 1, 1, 1, 1, 1, 1];
-const SCENARIOS_OF_AN_ORGANISATION = 8;
-const NEVER = 1e9;
-/** Beyond any capacity of the modelled fleet, in requests a second. */
+const SCENARIOS_PER_ORGANISATION = 8;
+const EFFECTIVELY_UNLIMITED = 1e9;
+/**
+ * Rate in requests per second that exceeds the modelled fleet's capacity in every case.
+ */
 const SATURATING_RATE = 250;
 
 export const NORMAL_MIX: readonly WorkShape[] = [TUTOR_REPLY, CASE_REVIEW];
 
-/** The modelled engines; `change` makes some of them different. */
-export function fleet(
+/**
+ * Returns the modelled engines; `change` returns the parameters in which an engine
+ * differs.
+ */
+export function modelledFleet(
   change: (position: number) => Partial<EngineModel> = () => ({}),
   size = ENGINES,
 ): readonly EngineModel[] {
@@ -49,12 +54,12 @@
 }
 
 /**
- * The organisations' demand, in proportion to their weights.
+ * Returns the organisations' demands, in proportion to their weights.
  *
- * @param rate Requests a second of all together.
- * @param scale Multiplies an organisation's rate, by time.
- * @param peakScale The highest scale of an organisation; the requests of one
- *     whose highest scale is the same are the same.
+ * @param rate Requests per second of all organisations together.
+ * @param scale Factor on an organisation's rate, by time in milliseconds.
+ * @param peakScale Maximum of `scale` for an organisation. Organisations draw the same
+ *     requests in two runs if their peak rate is the same.
  */
 export function demands(
   rate: number,
@@ -71,25 +76,25 @@
       rate: now => share * scale(position, now),
       peakRate: share * peakScale(position),
       shapes,
-      scenarios: SCENARIOS_OF_AN_ORGANISATION,
+      scenarios: SCENARIOS_PER_ORGANISATION,
     };
   });
 }
 
-/** A run in which only the demand and the policies are special. */
+/** Returns a simulation with default parameters, except for the given changes. */
 export function simulation(
   seed: number,
   changes: Partial<Simulation> & Pick<Simulation, 'demands' | 'createPolicies'>,
 ): Simulation {
   return {
-    engines: fleet(),
-    callers: {retries: 0, obeysReturnTime: true},
+    engines: modelledFleet(),
+    callers: {retries: 0, honoursRetryAfter: true},
     reports: {
       intervalMilliseconds: 500,
       lagMilliseconds: 500,
-      lostCacheEvents: 0,
+      lostCacheEventShare: 0,
     },
-    tripMilliseconds: 3,
+    roundTripMilliseconds: 3,
     maximumQueuedRequests: 2_000,
     measureFrom: WARM_UP_MILLISECONDS,
     measureUntil: WARM_UP_MILLISECONDS + MEASURED_MILLISECONDS,
@@ -98,27 +103,30 @@
   };
 }
 
-/** What the fleet can do when it never runs dry and nobody hangs up. */
+/** Throughput of the fleet with a permanent backlog and without deadlines. */
 export interface Capacity {
   readonly requestsPerSecond: number;
-  /** Engine time of the answers without any cache, over the engines' time. */
+  /**
+   * Engine time that the answers take without cache hits, divided by the engines' total
+   * time.
+   */
   readonly workShare: number;
 }
 
-function saturated(
+function measureSaturated(
   seed: number,
   shapes: readonly WorkShape[],
   createPolicies: (fraction: () => number) => LoadPolicies,
 ): Capacity {
-  const patient = shapes.map(shape => ({
+  const shapesWithoutDeadline = shapes.map(shape => ({
     ...shape,
-    deadlineMilliseconds: NEVER,
+    deadlineMilliseconds: EFFECTIVELY_UNLIMITED,
   }));
   const figures = new SimulationRun(
     simulation(seed, {
-      demands: demands(SATURATING_RATE, patient),
+      demands: demands(SATURATING_RATE, shapesWithoutDeadline),
       createPolicies,
-      maximumQueuedRequests: NEVER,
+      maximumQueuedRequests: EFFECTIVELY_UNLIMITED,
     }),
   ).run();
   return {
@@ -128,17 +136,17 @@
 }
 
 /**
- * Measures the capacity: the better of the two placements, first come, first
- * served, with a backlog at all times and nobody in a hurry.
+ * Measures the capacity with first-come, first-served queues, a permanent backlog and no
+ * deadlines. The better result of the chosen and the baseline placement counts.
  */
 export function measureCapacity(
   seed: number,
   shapes: readonly WorkShape[] = NORMAL_MIX,
 ): Capacity {
-  const chosen = saturated(seed, shapes, fraction => ({
+  const chosen = measureSaturated(seed, shapes, fraction => ({
     ...baselinePolicies(fraction),
     createPlacement: chosenPolicies(fraction).createPlacement,
   }));
-  const baseline = saturated(seed, shapes, baselinePolicies);
+  const baseline = measureSaturated(seed, shapes, baselinePolicies);
   return chosen.workShare > baseline.workShare ? chosen : baseline;
 }
--- a/packages/measurements/src/decisions-random.ts
+++ b/packages/measurements/src/decisions-random.ts
@@ -1,11 +1,16 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Seeded random numbers for one purpose, so that purposes don't disturb one another. */
+/**
+ * A seeded random source for one purpose, so that draws for one purpose don't affect
+ * those for another.
+ */
 export class SeededRandom {
   private readonly generator;
 
-  /** @param purpose Another one gives other numbers under the same seed. */
+  /**
+   * @param purpose Combined with the seed, so that each purpose has its own sequence.
+   */
   constructor(seed: number, purpose: string) {
     let mixed = seed;
     for (const letter of purpose) {
@@ -14,22 +19,22 @@
     this.generator = xoroshiro128plus(mixed);
   }
 
-  /** A number from 0 (included) to 1 (excluded). */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   fraction(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** Exponentially distributed with the given mean. */
+  /** Returns an exponentially distributed number with the given mean. */
   exponential(mean: number): number {
     return -Math.log(1 - this.fraction()) * mean;
   }
 
-  /** A whole number, both bounds included. */
-  between(lowest: number, highest: number): number {
-    return lowest + Math.floor(this.fraction() * (highest - lowest + 1));
+  /** Returns a uniformly distributed integer; both bounds are inclusive. */
+  between(minimum: number, maximum: number): number {
+    return minimum + Math.floor(this.fraction() * (maximum - minimum + 1));
   }
 
-  /** Log-normally distributed around a median. */
+  /** Returns a log-normally distributed number with the given median. */
   logNormal(median: number, sigma: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.fraction()));
     const normal = radius * Math.cos(2 * Math.PI * this.fraction());
--- a/packages/measurements/src/decisions-reports.ts
+++ b/packages/measurements/src/decisions-reports.ts
@@ -14,17 +14,18 @@
     waiting: engine.waitingCount,
     slots: engine.model.slots,
     leaving: false,
-    cachedPrefixes: engine.announced.filter(() => !isLost()),
+    cachedPrefixes: engine.unreportedHashes.filter(() => !isLost()),
     cacheSequence: engine.cacheSequence,
   };
-  engine.announced = [];
+  engine.unreportedHashes = [];
   return report;
 }
 
 /**
- * Sends an engine's reports late and with gaps.
+ * Schedules an engine's load reports, delayed and with a share of the cache events lost.
  *
- * @param deliver Gets each report when it arrives.
+ * @param until Time of the last report, in milliseconds.
+ * @param deliver Receives each report when it arrives.
  */
 export function scheduleReports(
   engine: ModelledEngine,
@@ -34,13 +35,17 @@
   until: number,
   deliver: (report: EngineLoadReport, now: number) => void,
 ): void {
-  const {intervalMilliseconds, lagMilliseconds, lostCacheEvents} = behaviour;
+  const {intervalMilliseconds, lagMilliseconds, lostCacheEventShare} =
+    behaviour;
   const random = new SeededRandom(seed, engine.model.endpoint);
   const send = (now: number) => {
     if (now > until) {
       return;
     }
-    const report = reportOf(engine, () => random.fraction() < lostCacheEvents);
+    const report = reportOf(
+      engine,
+      () => random.fraction() < lostCacheEventShare,
+    );
     timeline.schedule(now + lagMilliseconds, at => {
       deliver(report, at);
     });
--- a/packages/measurements/src/decisions-scenario.ts
+++ b/packages/measurements/src/decisions-scenario.ts
@@ -3,31 +3,37 @@
 import type {EngineModel} from './decisions-engine.js';
 import type {Demand} from './decisions-workload.js';
 
-/** How callers whose request was refused or late behave. */
+/** Behaviour of callers whose request was refused or missed its deadline. */
 export interface CallerBehaviour {
-  /** Further tries of one request; 0 for none. */
+  /** Maximum number of retries of a request. */
   readonly retries: number;
-  /** Whether they wait as long as a refusal says, or try again at once. */
-  readonly obeysReturnTime: boolean;
+  /**
+   * True if they wait as long as a refusal asks for, false if they retry after about
+   * 100 ms.
+   */
+  readonly honoursRetryAfter: boolean;
 }
 
-/** How reports reach the router. */
+/** How load reports reach the router. */
 export interface ReportBehaviour {
   readonly intervalMilliseconds: number;
   readonly lagMilliseconds: number;
-  /** Part of the cache events that is lost on the way. */
-  readonly lostCacheEvents: number;
+  /** Share (0 to 1) of the cache events that are lost. */
+  readonly lostCacheEventShare: number;
 }
 
-/** One run of one router's decisions against modelled engines. */
+/**
+ * Parameters of a simulation of one router's decisions with modelled engines; times are
+ * in milliseconds.
+ */
 export interface Simulation {
   readonly engines: readonly EngineModel[];
   readonly demands: readonly Demand[];
   readonly callers: CallerBehaviour;
   readonly reports: ReportBehaviour;
-  readonly tripMilliseconds: number;
+  readonly roundTripMilliseconds: number;
   readonly maximumQueuedRequests: number;
-  /** Requests offered from then on are counted. */
+  /** Start of the measurement: only requests offered from then on are counted. */
   readonly measureFrom: number;
   readonly measureUntil: number;
   readonly createPolicies: (fraction: () => number) => LoadPolicies;
--- a/packages/measurements/src/decisions-simulation.ts
+++ b/packages/measurements/src/decisions-simulation.ts
@@ -22,12 +22,15 @@
 
 const SERVICE = 'tutor-models';
 const MODEL = 'tutor-7b';
-/** Callers that don't obey try again after about this long. */
-const IMPATIENT_RETRY_MILLISECONDS = 100;
-/** Enough for the longest answer at the slowest engine to end. */
+/** Mean retry delay of callers that ignore the delay stated in a refusal. */
+const IMMEDIATE_RETRY_MILLISECONDS = 100;
+/**
+ * Time after the measurement in which the longest answer at the slowest engine can
+ * finish.
+ */
 const DRAIN_MILLISECONDS = 400_000;
 
-/** Plays one simulation. */
+/** Runs one simulation. */
 export class SimulationRun {
   private readonly timeline = new Timeline();
   private readonly core: LoadCore;
@@ -50,7 +53,7 @@
       dataCenter: SIMULATED_DATA_CENTER,
       maximumQueuedRequests: simulation.maximumQueuedRequests,
       fraction,
-      tripMilliseconds: () => simulation.tripMilliseconds,
+      tripMilliseconds: () => simulation.roundTripMilliseconds,
       policies: simulation.createPolicies(fraction),
     });
     const slots = engines[0]?.slots ?? 1;
@@ -59,7 +62,11 @@
     );
   }
 
-  /** Runs to the end and returns what the callers saw. */
+  /**
+   * Runs the simulation to its end.
+   *
+   * @returns The figures of the measured time, from the callers' point of view.
+   */
   run(): DecisionsFigures {
     const {engines, demands, measureFrom, measureUntil} = this.simulation;
     this.core.updateEndpoints(
@@ -108,7 +115,7 @@
 
   private offer(
     request: CallerRequest,
-    triesLeft: number,
+    remainingTries: number,
     now: number,
     isRetry: boolean,
   ): void {
@@ -116,7 +123,7 @@
       requestId: `request-${this.nextRequest++}`,
       request,
       offeredAt: now,
-      triesLeft,
+      remainingTries,
       isCounted: this.isMeasured(now),
       engine: undefined,
       sequence: undefined,
@@ -125,10 +132,10 @@
     };
     this.attempts.set(attempt.requestId, attempt);
     if (attempt.isCounted && !isRetry) {
-      this.tally.offer(request);
+      this.tally.recordOffer(request);
     }
     this.timeline.schedule(now + request.deadlineMilliseconds, at => {
-      this.deadline(attempt, at);
+      this.handleDeadline(attempt, at);
     });
     const item = workItemOf(attempt, SERVICE, MODEL, isRetry);
     this.apply([this.core.offer(item, now)], now);
@@ -153,7 +160,9 @@
     for (const decision of decisions) {
       const attempt = this.attempts.get(decision.requestId);
       if (attempt === undefined) {
-        throw new Error(`a decision for the unknown ${decision.requestId}`);
+        throw new Error(
+          `received a decision for unknown request ${decision.requestId}`,
+        );
       }
       switch (decision.kind) {
         case DecisionKind.Place:
@@ -162,7 +171,7 @@
         case DecisionKind.Refuse:
           this.end(attempt);
           if (attempt.isCounted) {
-            this.tally.refuse(decision.reason);
+            this.tally.recordRefusal(decision.reason);
           }
           this.retry(attempt, now, decision.retryAfterMilliseconds);
           break;
@@ -175,12 +184,12 @@
   private dispatch(attempt: Attempt, endpoint: string, now: number): void {
     const engine = this.engines.get(endpoint);
     if (engine === undefined) {
-      throw new Error(`placed at the unknown ${endpoint}`);
+      throw new Error(`request was placed at unknown endpoint ${endpoint}`);
     }
     const sequence = sequenceOf(attempt);
     attempt.engine = engine;
     attempt.sequence = sequence;
-    this.timeline.schedule(now + this.oneWay(engine), at => {
+    this.timeline.schedule(now + this.oneWayMilliseconds(engine), at => {
       if (!attempt.hasEnded) {
         engine.add(sequence);
         this.step(engine, at);
@@ -188,10 +197,10 @@
     });
   }
 
-  private oneWay(engine: ModelledEngine): number {
+  private oneWayMilliseconds(engine: ModelledEngine): number {
     return engine.model.dataCenter === SIMULATED_DATA_CENTER
       ? 0
-      : this.simulation.tripMilliseconds / 2;
+      : this.simulation.roundTripMilliseconds / 2;
   }
 
   private step(engine: ModelledEngine, now: number): void {
@@ -202,15 +211,15 @@
     this.timeline.schedule(now + engine.beginStep(now), at => {
       this.stepping.delete(engine);
       const {firstTokens, finished} = engine.endStep();
-      const seenAt = at + this.oneWay(engine);
+      const receivedAt = at + this.oneWayMilliseconds(engine);
       for (const {requestId} of firstTokens) {
-        this.timeline.schedule(seenAt, () => {
-          this.firstToken(requestId, seenAt);
+        this.timeline.schedule(receivedAt, () => {
+          this.firstToken(requestId, receivedAt);
         });
       }
       for (const {requestId} of finished) {
-        this.timeline.schedule(seenAt, () => {
-          this.finish(requestId, WorkOutcome.Answered, seenAt);
+        this.timeline.schedule(receivedAt, () => {
+          this.finish(requestId, WorkOutcome.Answered, receivedAt);
         });
       }
       this.step(engine, at);
@@ -225,17 +234,20 @@
     attempt.firstTokenAt = now;
     this.core.firstToken(requestId, now);
     if (attempt.isCounted) {
-      this.tally.firstToken(attempt.request, now - attempt.offeredAt);
+      this.tally.recordFirstToken(attempt.request, now - attempt.offeredAt);
     }
   }
 
-  /** The caller hangs up where its first token has not come. */
-  private deadline(attempt: Attempt, now: number): void {
+  /**
+   * Cancels the request if it has no first token by its deadline, as its caller
+   * disconnects.
+   */
+  private handleDeadline(attempt: Attempt, now: number): void {
     if (attempt.hasEnded || attempt.firstTokenAt !== undefined) {
       return;
     }
     if (attempt.isCounted) {
-      this.tally.giveUp();
+      this.tally.recordGivenUp();
     }
     if (attempt.sequence === undefined) {
       this.end(attempt);
@@ -255,7 +267,7 @@
     }
     this.end(attempt);
     if (outcome === WorkOutcome.Answered && this.isMeasured(now)) {
-      this.tally.complete(attempt.request);
+      this.tally.recordCompletion(attempt.request);
     }
     if (attempt.isCounted) {
       countWork(
@@ -271,7 +283,7 @@
         endpoint: attempt.engine?.model.endpoint ?? '',
         outcome,
         promptTokens: attempt.request.promptTokens,
-        outputTokens: sequence.generated,
+        outputTokens: sequence.generatedTokens,
       },
       now,
     );
@@ -279,17 +291,21 @@
     this.scheduleWake();
   }
 
-  private retry(attempt: Attempt, now: number, returnAfter: number): void {
+  private retry(
+    attempt: Attempt,
+    now: number,
+    retryAfterMilliseconds: number,
+  ): void {
     const {callers} = this.simulation;
-    if (attempt.triesLeft === 0) {
+    if (attempt.remainingTries === 0) {
       return;
     }
     const delay =
-      callers.obeysReturnTime && returnAfter > 0
-        ? returnAfter
-        : IMPATIENT_RETRY_MILLISECONDS * (0.5 + this.random.fraction());
+      callers.honoursRetryAfter && retryAfterMilliseconds > 0
+        ? retryAfterMilliseconds
+        : IMMEDIATE_RETRY_MILLISECONDS * (0.5 + this.random.fraction());
     this.timeline.schedule(now + delay, at => {
-      this.offer(attempt.request, attempt.triesLeft - 1, at, true);
+      this.offer(attempt.request, attempt.remainingTries - 1, at, true);
     });
   }
 
--- a/packages/measurements/src/decisions-tally.ts
+++ b/packages/measurements/src/decisions-tally.ts
@@ -2,7 +2,7 @@
 
 import type {CallerRequest} from './decisions-workload.js';
 
-/** What became of an organisation's requests. */
+/** Offered and useful work of an organisation's requests. */
 interface OrganisationTally {
   offeredWork: number;
   usefulWork: number;
@@ -12,30 +12,36 @@
 /** The figures of one run. */
 export interface DecisionsFigures {
   readonly requests: number;
-  /** Of those, whole answers whose first token came in time. */
+  /** Requests with a complete answer whose first token met the deadline. */
   readonly answeredInTime: number;
   /**
-   * Useful work: whole answers in time that ended within the measured time, as
-   * their engine time without any cache over the engines' time. A fleet that
-   * finds prompts in its caches gets above 1.
+   * Engine time, without cache hits, of the complete answers that met the deadline and
+   * ended within the measured time, divided by the engines' total time. Cache hits can
+   * raise it above 1.
    */
   readonly usefulWorkShare: number;
   readonly usefulAnswersPerSecond: number;
   readonly interactiveP50Milliseconds: number;
   readonly interactiveP95Milliseconds: number;
   readonly interactiveP99Milliseconds: number;
-  /** Of the interactive requests, those with a first token in time. */
+  /**
+   * Share of interactive requests with a complete answer whose first token met the
+   * deadline.
+   */
   readonly interactiveInTimeShare: number;
   readonly batchInTimeShare: number;
   readonly refusals: Readonly<Record<string, number>>;
   readonly gaveUp: number;
-  /** Requests that the core still held when all callers had gone. */
+  /** Requests that remained in the core after the drain time; must be 0. */
   readonly forgotten: number;
-  /** Jain's index over the organisations' shares of their offered work. */
+  /**
+   * Jain's fairness index of useful work divided by offered work, over the
+   * organisations.
+   */
   readonly fairness: number;
   readonly usefulTokensByOrganisation: Readonly<Record<string, number>>;
   readonly prefixHitShare: number;
-  /** Engine tokens spent on answers that nobody awaited, over all. */
+  /** Share of the engine tokens that was spent on cancelled requests. */
   readonly wastedShare: number;
 }
 
@@ -61,7 +67,10 @@
   return whole === 0 ? 0 : rounded(part / whole);
 }
 
-/** Counts what the callers of one run saw within the measured time. */
+/**
+ * Counts the outcomes of one run within the measured time, from the callers' point of
+ * view.
+ */
 export class DecisionsTally {
   private readonly firstTokens: number[] = [];
   private readonly refusals = new Map<RefusalReason, number>();
@@ -78,31 +87,34 @@
   private spentTokens = 0;
   private wastedTokens = 0;
 
-  /** @param workOf Engine time of a request without any cache. */
+  /**
+   * @param workOf Returns the engine time of a request without cache hits, in
+   * milliseconds.
+   */
   constructor(private readonly workOf: (request: CallerRequest) => number) {}
 
-  offer(request: CallerRequest): void {
+  recordOffer(request: CallerRequest): void {
     this.requests++;
     this.add(this.offered, request.workClass);
     this.organisation(request).offeredWork += this.workOf(request);
   }
 
-  refuse(reason: RefusalReason): void {
+  recordRefusal(reason: RefusalReason): void {
     this.refusals.set(reason, (this.refusals.get(reason) ?? 0) + 1);
   }
 
-  giveUp(): void {
+  recordGivenUp(): void {
     this.gaveUp++;
   }
 
-  firstToken(request: CallerRequest, milliseconds: number): void {
+  recordFirstToken(request: CallerRequest, milliseconds: number): void {
     if (request.workClass === WorkClass.Interactive) {
       this.firstTokens.push(milliseconds);
     }
   }
 
-  /** A whole answer whose first token came in time. */
-  answer(request: CallerRequest): void {
+  /** Records a complete answer whose first token met the deadline. */
+  recordAnswer(request: CallerRequest): void {
     this.answeredInTime++;
     this.add(this.inTime, request.workClass);
     const organisation = this.organisation(request);
@@ -110,25 +122,31 @@
     organisation.usefulTokens += request.promptTokens + request.outputTokens;
   }
 
-  /** A whole answer in time ended within the measured time. */
-  complete(request: CallerRequest): void {
+  /** Records an answer, as in `recordAnswer`, that ended within the measured time. */
+  recordCompletion(request: CallerRequest): void {
     this.completed++;
     this.completedWork += this.workOf(request);
   }
 
-  /** Prompt tokens that could have been in the cache, and those that were. */
-  prefix(shared: number, cached: number): void {
+  /** Records the prompt tokens that could have been cached, and those that were. */
+  recordPrefixTokens(shared: number, cached: number): void {
     this.prefixTokens += shared;
     this.cachedTokens += cached;
   }
 
-  /** Tokens that an engine worked on. */
-  spend(tokens: number, isWasted: boolean): void {
+  /** Records tokens processed by an engine. */
+  recordSpentTokens(tokens: number, isWasted: boolean): void {
     this.spentTokens += tokens;
     this.wastedTokens += isWasted ? tokens : 0;
   }
 
-  /** @param engineMilliseconds Time of all engines within the measured time. */
+  /**
+   * Returns the figures of the run.
+   *
+   * @param engineMilliseconds Measured time multiplied by the number of engines.
+   * @param seconds Measured time.
+   * @param forgotten Requests that remained in the core after the drain time.
+   */
   figures(
     engineMilliseconds: number,
     seconds: number,
@@ -178,9 +196,9 @@
   }
 
   private organisation(request: CallerRequest): OrganisationTally {
-    const known = this.organisations.get(request.organisation);
-    if (known !== undefined) {
-      return known;
+    const existing = this.organisations.get(request.organisation);
+    if (existing !== undefined) {
+      return existing;
     }
     const tally = {offeredWork: 0, usefulWork: 0, usefulTokens: 0};
     this.organisations.set(request.organisation, tally);
--- a/packages/measurements/src/decisions-timeline.ts
+++ b/packages/measurements/src/decisions-timeline.ts
@@ -4,19 +4,22 @@
   readonly run: (now: number) => void;
 }
 
-/** Actions in the order of their time, on a clock that only they move. */
+/**
+ * A discrete-event scheduler: runs actions in the order of their time on a virtual
+ * clock.
+ */
 export class Timeline {
   private readonly heap: TimedAction[] = [];
   private nextOrder = 0;
-  private present = 0;
+  private currentTime = 0;
 
   get now(): number {
-    return this.present;
+    return this.currentTime;
   }
 
   schedule(at: number, run: (now: number) => void): void {
     const action = {
-      at: Math.max(at, this.present),
+      at: Math.max(at, this.currentTime),
       order: this.nextOrder++,
       run,
     };
@@ -34,16 +37,16 @@
     this.heap[position] = action;
   }
 
-  /** Runs all actions up to a time. */
+  /** Runs all actions up to and including a time, and advances the clock to it. */
   runUntil(end: number): void {
     for (;;) {
       const first = this.heap[0];
       if (first === undefined || first.at > end) {
-        this.present = end;
+        this.currentTime = end;
         return;
       }
       this.removeFirst();
-      this.present = first.at;
+      this.currentTime = first.at;
       first.run(first.at);
     }
   }
--- a/packages/measurements/src/decisions-workload.ts
+++ b/packages/measurements/src/decisions-workload.ts
@@ -2,17 +2,20 @@
 
 import type {SeededRandom} from './decisions-random.js';
 
-/** A kind of request, by the medians of what it needs. */
+/** A kind of request, described by its median token counts. */
 export interface WorkShape {
   readonly workClass: WorkClass;
-  /** Share of the organisation's requests. */
+  /** Share (0 to 1) of the organisation's requests. */
   readonly share: number;
-  /** Tokens of the service's prompt and of the scenario's, both shared. */
+  /**
+   * Tokens of the shared prompt, which consists of the service's and the scenario's
+   * part.
+   */
   readonly sharedPromptTokens: number;
   readonly ownPromptTokens: number;
   readonly outputTokens: number;
   readonly sigma: number;
-  /** From the offer until the first token. */
+  /** Maximum time from the offer to the first token. */
   readonly deadlineMilliseconds: number;
 }
 
@@ -20,16 +23,16 @@
 export interface Demand {
   readonly organisation: string;
   readonly weight: number;
-  /** Requests a second, by time in milliseconds. */
+  /** Returns the requests per second at a time in milliseconds. */
   readonly rate: (now: number) => number;
-  /** The highest that `rate` returns. */
+  /** Upper bound of `rate`. */
   readonly peakRate: number;
   readonly shapes: readonly WorkShape[];
-  /** Scenarios whose prompts its requests share. */
+  /** Number of scenarios among which requests share prompts. */
   readonly scenarios: number;
 }
 
-/** One request as its caller needs it. */
+/** A request with the token counts that it needs. */
 export interface CallerRequest {
   readonly organisation: string;
   readonly weight: number;
@@ -44,7 +47,7 @@
   readonly deadlineMilliseconds: number;
 }
 
-/** A tutor's reply: a person waits for it. */
+/** A tutor's reply: interactive, as a user waits for it. */
 export const TUTOR_REPLY: WorkShape = {
   workClass: WorkClass.Interactive,
   share: 0.7,
@@ -55,7 +58,7 @@
   deadlineMilliseconds: 2_000,
 };
 
-/** A graded case review: nobody waits at a screen. */
+/** A graded case review: batch work, as no user waits for it. */
 export const CASE_REVIEW: WorkShape = {
   workClass: WorkClass.Batch,
   share: 0.3,
@@ -66,21 +69,22 @@
   deadlineMilliseconds: 30_000,
 };
 
+/** Length of an answer as a share of the maximum that its request states. */
 const ANSWER_SHARE_OF_MAXIMUM = 0.6;
-/** Part of the shared prompt that all requests of a shape have in common. */
+/** Share of the shared prompt that all requests of a shape have in common. */
 const SERVICE_PROMPT_SHARE = 0.4;
 
 function shapeOf(demand: Demand, random: SeededRandom): WorkShape {
-  let left = random.fraction();
+  let remaining = random.fraction();
   for (const shape of demand.shapes) {
-    left -= shape.share;
-    if (left < 0) {
+    remaining -= shape.share;
+    if (remaining < 0) {
       return shape;
     }
   }
   const last = demand.shapes.at(-1);
   if (last === undefined) {
-    throw new RangeError(`${demand.organisation} has no shapes`);
+    throw new RangeError(`demand of ${demand.organisation} has no work shapes`);
   }
   return last;
 }
@@ -93,7 +97,7 @@
   return Math.max(1, Math.round(random.logNormal(median, sigma)));
 }
 
-/** Draws one request of an organisation. */
+/** Draws a request of an organisation. */
 export function drawRequest(
   demand: Demand,
   random: SeededRandom,
--- a/packages/measurements/src/test/budget-replay_test.ts
+++ b/packages/measurements/src/test/budget-replay_test.ts
@@ -6,7 +6,7 @@
 
 const SEEDS = [1, 2, 3];
 
-/** The days of all seeds under one policy, added up. */
+/** Sums the results of all seeds under one charge point. */
 function replay(scenarioName: string, chargePoint: ChargePoint): ReplayResult {
   const scenario = REPLAY_SCENARIOS.find(({name}) => name === scenarioName);
   if (scenario === undefined) {
@@ -22,27 +22,30 @@
     new BudgetReplay(scenario, policy, seed).run(),
   );
   return runs.reduce((sum, run) => ({
-    owed: sum.owed + run.owed,
-    refusedOwed: sum.refusedOwed + run.refusedOwed,
+    affordableRequests: sum.affordableRequests + run.affordableRequests,
+    refusedAffordableRequests:
+      sum.refusedAffordableRequests + run.refusedAffordableRequests,
     overspentTokens: sum.overspentTokens + run.overspentTokens,
     strandedPart: sum.strandedPart + run.strandedPart,
     records: sum.records + run.records,
   }));
 }
 
-describe('taking tokens when the answer is there', () => {
-  it('loses less with all hosts, and refuses fewer afterwards', () => {
-    // The caller sees: after all hosts lost power at once, its budget still covers its
-    // requests. Tokens of requests that had delivered nothing were taken before the
-    // dispatch, and counted as spent.
+describe('charging tokens at delivery', () => {
+  it('strands fewer tokens when all hosts fail, and refuses fewer requests afterwards', () => {
+    // Guards against refusals of requests that the budget still covers, after all hosts
+    // lose power at once. They occur if tokens are charged before dispatch, because the
+    // tokens of requests that delivered nothing then count as spent.
     const before = replay('all-die', ChargePoint.Dispatch);
     const after = replay('all-die', ChargePoint.Delivery);
     expect(after.strandedPart).toBeLessThan(before.strandedPart);
-    expect(after.refusedOwed).toBeLessThan(before.refusedOwed);
+    expect(after.refusedAffordableRequests).toBeLessThan(
+      before.refusedAffordableRequests,
+    );
   });
 
   it.each(REPLAY_SCENARIOS.map(({name}) => name))(
-    'never spends past a budget: %s',
+    'never overspends a budget: %s',
     name => {
       expect(replay(name, ChargePoint.Delivery).overspentTokens).toBe(0);
     },
