--- a/packages/measurements/src/answer-checks.ts
+++ b/packages/measurements/src/answer-checks.ts
@@ -3,9 +3,11 @@
 
 import type {CompletionCall, ServiceCall} from './caller-request.js';
 
-/** An answer as it was checked. */
+/** The result of checking an answer. */
 export interface CheckedAnswer {
-  /** Empty where it is the caller's own and whole. */
+  /**
+   * What is wrong with the answer; empty if it is complete and belongs to the request.
+   */
   readonly mismatch: string;
   readonly tokens: number;
   readonly content: string;
@@ -25,7 +27,7 @@
   readonly usage?: Usage | null;
 }
 
-/** The messages of a completion, as they are sent. */
+/** Returns the `messages` field of a completion request. */
 export function messagesOf(call: CompletionCall) {
   return [{role: 'user', content: call.prompt}];
 }
@@ -39,20 +41,20 @@
   const expected = expectedCompletion(call.model, messages, call.maximumTokens);
   const tokens =
     usage === undefined ? 0 : usage.prompt_tokens + usage.completion_tokens;
-  const wanted = expected.promptTokens + expected.completionTokens;
+  const expectedTokens = expected.promptTokens + expected.completionTokens;
   let mismatch = '';
   if (content !== expected.text) {
-    mismatch = `the text has ${content.length} characters, not the ${expected.text.length} expected`;
-  } else if (tokens !== wanted) {
-    mismatch = `usage of ${tokens} tokens, not ${wanted}`;
+    mismatch = `text has ${content.length} characters, expected ${expected.text.length}`;
+  } else if (tokens !== expectedTokens) {
+    mismatch = `usage is ${tokens} tokens, expected ${expectedTokens}`;
   }
   return {mismatch, tokens, content};
 }
 
-/** Collects a stream's events and checks them at its end. */
-export class StreamCheck {
+/** Collects the events of a stream and checks them as a whole at its end. */
+export class StreamChecker {
   private content = '';
-  private next = 0;
+  private nextIndex = 0;
   private usage: Usage | undefined;
   private finished = false;
   private mismatch = '';
@@ -63,8 +65,13 @@
     private readonly requestId: string,
   ) {}
 
-  /** Takes one event; true for one that carries text. */
-  take(event: ServerSentEvent): boolean {
+  /**
+   * Adds an event of the stream.
+   *
+   * @returns True if the event carries text.
+   * @throws SyntaxError if the event's data isn't JSON.
+   */
+  addEvent(event: ServerSentEvent): boolean {
     if (event.data === '[DONE]') {
       this.finished = true;
       return false;
@@ -75,42 +82,42 @@
       return false;
     }
     if (chunk.id !== this.requestId) {
-      this.mismatch = `an event of ${String(chunk.id)}`;
+      this.mismatch = `received an event of request ${String(chunk.id)}`;
     }
     this.usage = chunk.usage ?? this.usage;
-    this.takeIndex(event);
+    this.checkIndex(event);
     const text = chunk.choices?.[0]?.delta?.content ?? '';
     this.content += text;
     return text !== '';
   }
 
-  /** The stream's end mark was seen. */
+  /** True once the `[DONE]` event has been received. */
   get complete(): boolean {
     return this.finished;
   }
 
-  /** A problem document sent within the stream; empty without one. */
+  /** The problem document sent within the stream; empty if there was none. */
   get problem(): string {
     return this.problemText;
   }
 
-  /** Checks the whole. */
+  /** Checks all events received so far. */
   check(): CheckedAnswer {
     const checked = checkCompletion(this.call, this.content, this.usage);
     return {...checked, mismatch: this.mismatch || checked.mismatch};
   }
 
-  /** A gap or a repeat among the indexes would hide a lost or doubled event. */
-  private takeIndex(event: ServerSentEvent): void {
-    if (Number(event.id) !== this.next) {
-      this.mismatch = `event ${String(event.id)} where ${this.next} belongs`;
+  /** Detects lost and duplicated events by gaps and repeats in the event indexes. */
+  private checkIndex(event: ServerSentEvent): void {
+    if (Number(event.id) !== this.nextIndex) {
+      this.mismatch = `received event ${String(event.id)}, expected ${this.nextIndex}`;
     }
-    this.next++;
+    this.nextIndex++;
   }
 }
 
-/** Checks a completion that came at once. */
-export function checkWhole(
+/** Checks a completion that was sent without streaming. */
+export function checkUnstreamedCompletion(
   call: CompletionCall,
   requestId: string,
   body: Buffer,
@@ -120,25 +127,32 @@
   const checked = checkCompletion(call, content, answer.usage ?? undefined);
   return answer.id === requestId
     ? checked
-    : {...checked, mismatch: `an answer of ${answer.id}`};
+    : {...checked, mismatch: `received the answer of request ${answer.id}`};
 }
 
-/** Checks a plain service's answer: whose it is, and to which body. */
-export function checkCall(
+/**
+ * Checks that a plain service's answer belongs to the request, organisation, call and
+ * body.
+ */
+export function checkServiceAnswer(
   call: ServiceCall,
   requestId: string,
   body: Buffer,
 ): CheckedAnswer {
   const text = body.toString();
   const reply = JSON.parse(text) as Record<string, unknown>;
-  const wanted: Record<string, unknown> = {
+  const expected: Record<string, unknown> = {
     requestId,
     organisation: call.from.organisation,
     call: call.call,
     digest: bodyDigest(Buffer.from(call.body)),
   };
-  const wrong = Object.keys(wanted).find(name => reply[name] !== wanted[name]);
+  const wrong = Object.keys(expected).find(
+    name => reply[name] !== expected[name],
+  );
   const mismatch =
-    wrong === undefined ? '' : `${wrong} is ${String(reply[wrong])}`;
+    wrong === undefined
+      ? ''
+      : `field ${wrong} has the unexpected value ${String(reply[wrong])}`;
   return {mismatch, tokens: call.tokens, content: text};
 }
--- a/packages/measurements/src/caller-client.ts
+++ b/packages/measurements/src/caller-client.ts
@@ -6,10 +6,10 @@
 import {createHash} from 'node:crypto';
 
 import {
-  checkCall,
-  checkWhole,
+  checkServiceAnswer,
+  checkUnstreamedCompletion,
   messagesOf,
-  StreamCheck,
+  StreamChecker,
   type CheckedAnswer,
 } from './answer-checks.js';
 import {
@@ -20,19 +20,19 @@
   type CompletionCall,
 } from './caller-request.js';
 import {
-  NO_RESULT,
+  LOST_RESULT,
   ResultKind,
   type CallerResult,
-  type Untimed,
+  type UntimedResult,
 } from './caller-result.js';
 
 const SUCCESS = 200;
 const REQUEST_ID_DIGITS = 32;
-const CONNECT_LIMIT_MILLISECONDS = 2_000;
-/** A caller that hears nothing for so long takes its connection for broken. */
-const SILENCE_LIMIT_MILLISECONDS = 20_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 2_000;
+/** A caller treats its connection as broken after this time without data. */
+const IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
-/** The request identifier that a key gives, at every host. */
+/** Returns the request identifier that every host derives from an idempotency key. */
 export function requestIdOf(from: CallerIdentity, key: string): string {
   const digest = createHash('sha256')
     .update(`${from.organisation}\0${from.caller}\0${key}`)
@@ -72,24 +72,28 @@
   answered: ResultKind.Answered,
 };
 
-function problemResult(text: string, requestId: string): Untimed {
+function problemResult(text: string, requestId: string): UntimedResult {
   const problem = JSON.parse(text) as ProblemDocument;
   const kind = OUTCOMES[problem.outcome ?? ''];
   return {
-    ...NO_RESULT,
+    ...LOST_RESULT,
     kind: kind ?? ResultKind.Unknown,
     requestId: problem.requestId ?? requestId,
     problem: (problem.type ?? 'none').split(':').at(-1) ?? '',
-    mismatch: kind === undefined ? 'a problem without an outcome' : '',
+    mismatch:
+      kind === undefined ? 'problem document without a known outcome' : '',
     retryAfterMilliseconds: problem.retryAfterMilliseconds ?? 0,
   };
 }
 
-function answeredResult(requestId: string, checked: CheckedAnswer): Untimed {
-  return {...NO_RESULT, kind: ResultKind.Answered, requestId, ...checked};
+function answeredResult(
+  requestId: string,
+  checked: CheckedAnswer,
+): UntimedResult {
+  return {...LOST_RESULT, kind: ResultKind.Answered, requestId, ...checked};
 }
 
-async function collect(answer: OpenAnswer): Promise<Buffer> {
+async function readBody(answer: OpenAnswer): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of answer.body) {
     chunks.push(chunk as Buffer);
@@ -97,19 +101,21 @@
   return Buffer.concat(chunks);
 }
 
-/** A caller's connection to one router; verifies every answer. */
+/** A caller's client of one router; it verifies every answer. */
 export class CallerClient {
   private readonly peer: HttpPeer;
 
-  /** @param address `IP:port` of a router's callers' interface. */
+  /** @param address `IP:port` of the router's interface for callers. */
   constructor(readonly address: string) {
     this.peer = new HttpPeer(`http://${address}`, address);
   }
 
   /**
-   * Sends a request and reads its answer to the end; never throws.
+   * Sends a request and reads its answer to the end. Never throws: a failed exchange
+   * is a result too.
    *
-   * @param onText Called after each event with text, for callers that break off.
+   * @param onText Called after each event with text, so that a caller can abort the
+   *     exchange there.
    */
   async send(
     request: CallerRequest,
@@ -118,45 +124,46 @@
   ): Promise<CallerResult> {
     const startedAt = performance.now();
     let firstMilliseconds: number | undefined;
-    const noteText = () => {
+    const recordFirstText = () => {
       firstMilliseconds ??= performance.now() - startedAt;
       onText?.();
     };
-    const untimed = await this.attempt(request, noteText, signal);
+    const untimedResult = await this.attempt(request, recordFirstText, signal);
     const milliseconds = performance.now() - startedAt;
     return {
-      ...untimed,
+      ...untimedResult,
       startedAtMilliseconds: startedAt,
       milliseconds,
       firstMilliseconds: firstMilliseconds ?? milliseconds,
     };
   }
 
-  /** Drops every connection. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.peer.close();
   }
 
   private async attempt(
     request: CallerRequest,
-    noteText: () => void,
+    recordFirstText: () => void,
     signal: AbortSignal | undefined,
-  ): Promise<Untimed> {
+  ): Promise<UntimedResult> {
     let requestId = '';
     try {
       const answer = await this.open(request, signal);
       requestId = String(answer.headers['x-request-id'] ?? '');
       if (answer.status !== SUCCESS) {
-        return problemResult((await collect(answer)).toString(), requestId);
+        return problemResult((await readBody(answer)).toString(), requestId);
       }
       const result =
         request.kind === RequestKind.Stream
-          ? await this.readStream(request, requestId, answer, noteText)
+          ? await this.readStream(request, requestId, answer, recordFirstText)
           : await this.readWhole(request, requestId, answer);
       return this.checkIdentifier(request, result);
     } catch (error) {
-      const mismatch = error instanceof SyntaxError ? 'not JSON' : '';
-      return {...NO_RESULT, requestId, mismatch};
+      const mismatch =
+        error instanceof SyntaxError ? 'answer is not valid JSON' : '';
+      return {...LOST_RESULT, requestId, mismatch};
     }
   }
 
@@ -170,14 +177,14 @@
     const method = isCompletion(request) ? 'POST' : request.method;
     const body = isCompletion(request) ? completionBody(request) : request.body;
     return this.peer.open({
-      step: 'call a router',
+      step: 'send a caller request',
       method,
       path,
       headers: headersOf(request),
       ...(method === 'GET' ? {} : {body}),
       timeouts: {
-        connect: CONNECT_LIMIT_MILLISECONDS,
-        idle: SILENCE_LIMIT_MILLISECONDS,
+        connect: CONNECT_TIMEOUT_MILLISECONDS,
+        idle: IDLE_TIMEOUT_MILLISECONDS,
       },
       signal,
     });
@@ -187,12 +194,12 @@
     call: CompletionCall,
     requestId: string,
     answer: OpenAnswer,
-    noteText: () => void,
-  ): Promise<Untimed> {
-    const check = new StreamCheck(call, requestId);
+    recordFirstText: () => void,
+  ): Promise<UntimedResult> {
+    const check = new StreamChecker(call, requestId);
     for await (const event of readServerSentEvents(answer.body)) {
-      if (check.take(event)) {
-        noteText();
+      if (check.addEvent(event)) {
+        recordFirstText();
       }
     }
     if (check.problem !== '') {
@@ -200,26 +207,32 @@
     }
     return check.complete
       ? answeredResult(requestId, check.check())
-      : {...NO_RESULT, requestId};
+      : {...LOST_RESULT, requestId};
   }
 
   private async readWhole(
     request: CallerRequest,
     requestId: string,
     answer: OpenAnswer,
-  ): Promise<Untimed> {
-    const body = await collect(answer);
+  ): Promise<UntimedResult> {
+    const body = await readBody(answer);
     const checked = isCompletion(request)
-      ? checkWhole(request, requestId, body)
-      : checkCall(request, requestId, body);
+      ? checkUnstreamedCompletion(request, requestId, body)
+      : checkServiceAnswer(request, requestId, body);
     return answeredResult(requestId, checked);
   }
 
-  private checkIdentifier(request: CallerRequest, result: Untimed): Untimed {
+  private checkIdentifier(
+    request: CallerRequest,
+    result: UntimedResult,
+  ): UntimedResult {
     const {key, from} = request;
     if (key === undefined || result.requestId === requestIdOf(from, key)) {
       return result;
     }
-    return {...result, mismatch: `request identifier ${result.requestId}`};
+    return {
+      ...result,
+      mismatch: `request identifier ${result.requestId} is not derived from the key`,
+    };
   }
 }
--- a/packages/measurements/src/caller-request.ts
+++ b/packages/measurements/src/caller-request.ts
@@ -1,10 +1,10 @@
-/** What kind of answer a request gets, and how it is checked. */
+/** Kind of a request; it determines the form of the answer and how it is checked. */
 export enum RequestKind {
   /** A streamed completion: tutor coaching, estimates. */
   Stream = 'stream',
-  /** A completion answered at once. */
+  /** A completion answered without streaming. */
   Whole = 'whole',
-  /** A case review: a completion as batch work. */
+  /** A case review: a completion in the batch class. */
   Review = 'review',
   /** A call that must run at most once. */
   NonIdempotentCall = 'non-idempotent-call',
@@ -12,7 +12,7 @@
   IdempotentCall = 'idempotent-call',
 }
 
-/** Who asks. */
+/** The identity and credential of a caller. */
 export interface CallerIdentity {
   readonly organisation: string;
   readonly caller: string;
@@ -21,11 +21,11 @@
 
 interface CommonRequest {
   readonly from: CallerIdentity;
-  /** Absent: the request can't be told again. */
+  /** Idempotency key; without one, the caller can't retry after a broken connection. */
   readonly key?: string;
 }
 
-/** A completion. */
+/** A completion request to a model service. */
 export interface CompletionCall extends CommonRequest {
   readonly kind: RequestKind.Stream | RequestKind.Whole | RequestKind.Review;
   readonly model: string;
@@ -46,7 +46,7 @@
 /** One request of a caller. */
 export type CallerRequest = CompletionCall | ServiceCall;
 
-/** True for completions. */
+/** Returns true if a request is a completion. */
 export function isCompletion(
   request: CallerRequest,
 ): request is CompletionCall {
--- a/packages/measurements/src/caller-result.ts
+++ b/packages/measurements/src/caller-result.ts
@@ -1,42 +1,46 @@
-/** What a caller was told, or not told. */
+/** Outcome of an exchange from the caller's point of view. */
 export enum ResultKind {
   Answered = 'answered',
   NotRun = 'not-run',
   Failed = 'failed',
   Unknown = 'unknown',
-  /** The connection broke without any word: the caller may ask again. */
+  /**
+   * The connection broke before an outcome was received; a caller with a key may retry.
+   */
   Lost = 'lost',
 }
 
-/** What one exchange with a router came to. */
+/** The result of one exchange with a router. */
 export interface CallerResult {
   readonly kind: ResultKind;
-  /** Empty where the connection broke before the head. */
+  /** Empty if the connection broke before the response headers arrived. */
   readonly requestId: string;
-  /** Name of the problem; empty for answers. */
+  /** Name of the problem type; empty for answers. */
   readonly problem: string;
-  /** What is wrong with an answer; empty where it is the caller's own and whole. */
+  /**
+   * What is wrong with the answer; empty if it is complete and belongs to the request.
+   */
   readonly mismatch: string;
-  /** Usage as the answer states it. */
+  /** Token usage stated in the answer. */
   readonly tokens: number;
-  /** What was delivered, to compare answers to the same key. */
+  /** Delivered content, for comparing several answers to the same key. */
   readonly content: string;
   readonly retryAfterMilliseconds: number;
-  /** On the runner's monotonic clock. */
+  /** Start of the exchange, on the runner's monotonic clock. */
   readonly startedAtMilliseconds: number;
   readonly milliseconds: number;
-  /** Until the first token, or the whole answer. */
+  /** Time until the first token, or until the end of an answer without streaming. */
   readonly firstMilliseconds: number;
 }
 
-/** A result before its times are known. */
-export type Untimed = Omit<
+/** A result without its times. */
+export type UntimedResult = Omit<
   CallerResult,
   'startedAtMilliseconds' | 'milliseconds' | 'firstMilliseconds'
 >;
 
-/** A result with nothing in it. */
-export const NO_RESULT: Untimed = {
+/** The result of an exchange whose connection broke before any data arrived. */
+export const LOST_RESULT: UntimedResult = {
   kind: ResultKind.Lost,
   requestId: '',
   problem: '',
--- a/packages/measurements/src/capacity-messages.ts
+++ b/packages/measurements/src/capacity-messages.ts
@@ -29,7 +29,7 @@
 const ENDPOINT = 'kigali-1-engine-1';
 const CONTENT_DIGEST = '0'.repeat(64);
 
-/** Bytes of one message as it goes over a stream. */
+/** Returns the encoded size of a message in bytes. */
 function bytesOf<Schema extends DescMessage>(
   schema: Schema,
   message: MessageInitShape<Schema>,
@@ -37,7 +37,7 @@
   return toBinary(schema, create(schema, message)).byteLength;
 }
 
-/** A bill as the keeper writes it. */
+/** Returns a bill with the fields that a keeper sets. */
 export function sampleBill(index: number): Bill {
   return create(BillSchema, {
     requestId: `req_${index.toString(16).padStart(32, '0')}`,
@@ -53,7 +53,7 @@
   });
 }
 
-/** The entry that carries a sample bill. */
+/** Returns the ledger entry that contains a sample bill. */
 export function sampleBillEntry(index: number): LedgerEntry {
   const bill = sampleBill(index);
   return create(LedgerEntrySchema, {
@@ -63,7 +63,7 @@
   });
 }
 
-/** An entry that credits and one that grants, so that sample bills count. */
+/** Returns a top-up and a grant, which the ledger needs to accept the sample bills. */
 export function sampleOpening(tokens: number): LedgerEntry[] {
   return [
     create(LedgerEntrySchema, {
@@ -89,7 +89,10 @@
   ];
 }
 
-/** Bytes of the messages that one request costs on the router's session. */
+/**
+ * Returns the sizes in bytes of the messages that one request adds to the router's
+ * session with its keeper.
+ */
 export function requestMessageBytes(): Readonly<Record<string, number>> {
   const begin = bytesOf(RouterMessageSchema, {
     kind: {
@@ -149,7 +152,7 @@
 
 const BATCHED_BILLS = 100;
 
-/** Bytes on the log of one bill, in a batch of a hundred. */
+/** Returns the bytes that one bill takes in the log, when 100 bills share a batch. */
 export function billRecordBytes(): number {
   const entries = Array.from({length: BATCHED_BILLS}, (_, index) =>
     sampleBillEntry(index),
@@ -158,7 +161,7 @@
   return toBinary(LedgerBatchSchema, batch).byteLength / BATCHED_BILLS;
 }
 
-/** Sizes that a configuration grows with. */
+/** Numbers of the items that determine a configuration's size. */
 export interface ConfigurationSize {
   readonly organisations: number;
   readonly endpoints: number;
@@ -170,7 +173,7 @@
 const LOWEST_PORT = 1_024;
 const PORTS = 60_000;
 
-/** A valid configuration of a size. */
+/** Returns a valid configuration of the given size. */
 export function sampleConfiguration(size: ConfigurationSize): Configuration {
   const models = Array.from({length: size.models}, (_, index) => ({
     name: `model-${index}`,
--- a/packages/measurements/src/cases/capacity-requests-case.ts
+++ b/packages/measurements/src/cases/capacity-requests-case.ts
@@ -10,12 +10,19 @@
 const REQUESTS = 1_200;
 const WARM_UP_REQUESTS = 200;
 const CONCURRENCY = 16;
-const MOST_ATTEMPTS = 5;
-/** As in operation, not as fast as in the failure cases. */
-const OPERATION = {heartbeat: 1_000, heartbeatLimit: 5_000, billFlush: 500};
+const MAXIMUM_ATTEMPTS = 5;
+/** Times as in production, in milliseconds; the failure cases use shorter ones. */
+const PRODUCTION_TIMES = {
+  heartbeat: 1_000,
+  heartbeatLimit: 5_000,
+  billFlush: 500,
+};
 const CONFIGURATION_STREAM = 'configuration';
 
-/** Sums over all entry hosts. */
+/**
+ * Processor time summed over all entry hosts, and the largest resident memory of one
+ * process.
+ */
 interface FleetUsage {
   readonly keeperMilliseconds: number;
   readonly routerMilliseconds: number;
@@ -23,7 +30,7 @@
   readonly largestRouterMegabytes: number;
 }
 
-function usageOf(hosts: readonly EntryHost[]): FleetUsage {
+function readFleetUsage(hosts: readonly EntryHost[]): FleetUsage {
   const keepers = hosts.map(({keeper}) => readProcessUsage(keeper.pid));
   const routers = hosts.map(({router}) => readProcessUsage(router.pid));
   const sum = (usages: typeof keepers) =>
@@ -38,15 +45,15 @@
   };
 }
 
-async function appendsOf(run: FleetRun, streams: number): Promise<number> {
+async function countAppends(run: FleetRun, streams: number): Promise<number> {
   const names = Array.from({length: streams}, (_, index) => `ledger-${index}`);
-  const ends = await Promise.all(
+  const endOffsets = await Promise.all(
     [CONFIGURATION_STREAM, ...names].map(async name => {
       const page = await run.fleet.log.read(name, 0, 1, 0);
       return page.endOffset;
     }),
   );
-  return ends.reduce((total, end) => total + end, 0);
+  return endOffsets.reduce((total, end) => total + end, 0);
 }
 
 function round(value: number): number {
@@ -54,25 +61,25 @@
 }
 
 /**
- * What a request costs the router and the keeper on real processes: processor
- * time as the kernel counts it, idle and under load, and appends on the log.
+ * Measures the cost of a request in running routers and keepers: processor time as
+ * counted by the kernel, idle and under load, and appends to the platform's log.
  */
 export class CapacityRequestsCase extends MeasureCase {
   override readonly name = 'capacity-requests';
   override readonly description =
-    'processor time of routers and keepers, idle and by request; appends';
+    'processor time of routers and keepers, idle and per request; log appends';
 
   override async run(seed: number): Promise<CaseResult> {
     const run = await FleetRun.start({
       plan: {
         ...SMALL_FLEET,
-        keeper: {...SMALL_FLEET.keeper, ...OPERATION},
+        keeper: {...SMALL_FLEET.keeper, ...PRODUCTION_TIMES},
         seed,
       },
       keyedShare: 0,
       load: {
         concurrency: CONCURRENCY,
-        mostAttempts: MOST_ATTEMPTS,
+        maximumAttempts: MAXIMUM_ATTEMPTS,
         repeatShare: 0,
         pauseMilliseconds: 0,
       },
@@ -92,40 +99,48 @@
     const {hosts} = run.fleet;
     const streams = SMALL_FLEET.ledgerStreams;
     await run.load.send(run.workload.requests(WARM_UP_REQUESTS));
-    const idleFrom = usageOf(hosts);
-    const idleAppends = await appendsOf(run, streams);
+    const usageBeforeIdle = readFleetUsage(hosts);
+    const appendsBeforeIdle = await countAppends(run, streams);
     await pause(IDLE_MILLISECONDS);
-    const from = usageOf(hosts);
-    const appendsFrom = await appendsOf(run, streams);
+    const usageBeforeLoad = readFleetUsage(hosts);
+    const appendsBeforeLoad = await countAppends(run, streams);
     const startedAt = performance.now();
     await run.load.send(run.workload.requests(REQUESTS));
     const milliseconds = performance.now() - startedAt;
-    const to = usageOf(hosts);
-    const appends = (await appendsOf(run, streams)) - appendsFrom;
-    const share = IDLE_MILLISECONDS * hosts.length;
+    const usageAfterLoad = readFleetUsage(hosts);
+    const appends = (await countAppends(run, streams)) - appendsBeforeLoad;
+    const idleProcessMilliseconds = IDLE_MILLISECONDS * hosts.length;
     const idleKeeper =
-      (from.keeperMilliseconds - idleFrom.keeperMilliseconds) / share;
+      (usageBeforeLoad.keeperMilliseconds -
+        usageBeforeIdle.keeperMilliseconds) /
+      idleProcessMilliseconds;
     const idleRouter =
-      (from.routerMilliseconds - idleFrom.routerMilliseconds) / share;
-    const idleSpent = milliseconds * hosts.length;
+      (usageBeforeLoad.routerMilliseconds -
+        usageBeforeIdle.routerMilliseconds) /
+      idleProcessMilliseconds;
+    const loadProcessMilliseconds = milliseconds * hosts.length;
     const keeperMilliseconds =
-      to.keeperMilliseconds - from.keeperMilliseconds - idleKeeper * idleSpent;
+      usageAfterLoad.keeperMilliseconds -
+      usageBeforeLoad.keeperMilliseconds -
+      idleKeeper * loadProcessMilliseconds;
     const routerMilliseconds =
-      to.routerMilliseconds - from.routerMilliseconds - idleRouter * idleSpent;
+      usageAfterLoad.routerMilliseconds -
+      usageBeforeLoad.routerMilliseconds -
+      idleRouter * loadProcessMilliseconds;
     return {
       hosts: hosts.length,
       idleKeeperCoreShare: round(idleKeeper),
       idleRouterCoreShare: round(idleRouter),
       idleAppendsEachSecond: round(
-        (appendsFrom - idleAppends) / (IDLE_MILLISECONDS / 1_000),
+        (appendsBeforeLoad - appendsBeforeIdle) / (IDLE_MILLISECONDS / 1_000),
       ),
       keeperMillisecondsEachRequest: round(keeperMilliseconds / REQUESTS),
       routerMillisecondsEachRequest: round(routerMilliseconds / REQUESTS),
       requestsEachSecond: round(REQUESTS / (milliseconds / 1_000)),
       appendsEachThousandRequests: round((appends / REQUESTS) * 1_000),
       appendsEachSecond: round(appends / (milliseconds / 1_000)),
-      largestKeeperMegabytes: to.largestKeeperMegabytes,
-      largestRouterMegabytes: to.largestRouterMegabytes,
+      largestKeeperMegabytes: usageAfterLoad.largestKeeperMegabytes,
+      largestRouterMegabytes: usageAfterLoad.largestRouterMegabytes,
     };
   }
 }
--- a/packages/measurements/src/cases/capacity-slopes-case.ts
+++ b/packages/measurements/src/cases/capacity-slopes-case.ts
@@ -29,21 +29,23 @@
 const REPETITIONS = 20_000;
 const CONFIGURATION_REPETITIONS = 3;
 
-/** The letter's sizes. */
+/** The full size that the requirements name. */
 const FULL_SIZE: ConfigurationSize = {
   organisations: 3_300,
   endpoints: 10_000,
   models: 32,
   dataCenters: 35,
 };
-const TODAY: ConfigurationSize = {
+const CURRENT_SIZE: ConfigurationSize = {
   organisations: 10,
   endpoints: 12,
   models: 2,
   dataCenters: 4,
 };
 
-/** Decoding and folding one bill that stands alone in its record. */
+/**
+ * Processor time of decoding and folding one bill that is the only entry of its record.
+ */
 function foldBillMicroseconds(): number {
   const fold = new LedgerFold();
   fold.applyBatch(
@@ -59,6 +61,7 @@
   });
 }
 
+/** Growth of a ledger checkpoint for each bill that it remembers, in bytes. */
 function checkpointBytesEachBill(): number {
   const bytesWith = (bills: number) => {
     const fold = new LedgerFold();
@@ -72,8 +75,11 @@
   return (bytesWith(REPETITIONS) - bytesWith(0)) / REPETITIONS;
 }
 
-/** One request in the books of its holder and its witness, without sockets. */
-function bookMicroseconds(): number {
+/**
+ * Processor time of one request in the holder's and the witness's book, without
+ * sockets.
+ */
+function bookkeepingMicroseconds(): number {
   const book = new HolderBook({
     grantId: sampleBill(0).grantId,
     organisation: 'organisation',
@@ -82,16 +88,16 @@
     dataCenter: 'kigali-1',
   });
   const witness = new WitnessBook();
-  const tell = (change: BookChange | undefined) => {
+  const applyToWitness = (change: BookChange | undefined) => {
     if (change !== undefined) {
       witness.apply(change);
     }
   };
-  tell(book.opened());
+  applyToWitness(book.opened());
   return processorMicroseconds(REPETITIONS, index => {
     const bill = sampleBill(index);
     const {requestId, attemptId, endpoint, caller} = bill;
-    tell(
+    applyToWitness(
       book.reserve(
         create(RequestReservationSchema, {
           reservation: {
@@ -107,7 +113,7 @@
         }),
       ),
     );
-    tell(book.settle(bill));
+    applyToWitness(book.settle(bill));
     book.billFolded(requestId);
     witness.billFolded(bill.grantId, requestId);
   });
@@ -130,23 +136,23 @@
 }
 
 /**
- * Slopes of the pure parts, without sockets: what one bill, one request and one
- * organisation cost in processor time and bytes.
+ * Measures how costs grow without processes or sockets: the processor time and bytes
+ * of one bill, one request and one organisation.
  */
 export class CapacitySlopesCase extends MeasureCase {
   override readonly name = 'capacity-slopes';
   override readonly description =
-    'processor time and bytes of one bill, request and organisation; no processes';
+    'processor time and bytes per bill, request and organisation; starts no processes';
 
   override run(): Promise<CaseResult> {
     const full = configurationSlope(FULL_SIZE);
     const fields = {
       foldBillMicroseconds: foldBillMicroseconds(),
-      booksEachRequestMicroseconds: bookMicroseconds(),
+      booksEachRequestMicroseconds: bookkeepingMicroseconds(),
       billRecordBytes: Math.round(billRecordBytes()),
       checkpointBytesEachRememberedBill: Math.round(checkpointBytesEachBill()),
       requestMessageBytes: requestMessageBytes(),
-      configurationToday: configurationSlope(TODAY),
+      configurationToday: configurationSlope(CURRENT_SIZE),
       configurationFullSize: full,
     };
     return Promise.resolve({fields, passed: full.problems === 0});
--- a/packages/measurements/src/cases/configuration-in-force-case.ts
+++ b/packages/measurements/src/cases/configuration-in-force-case.ts
@@ -2,7 +2,7 @@
 
 import type {EntryHost} from '../entry-host.js';
 import {FleetCase, type CaseFields} from '../fleet-case.js';
-import {PLATFORM_PLACE} from '../fleet-network.js';
+import {PLATFORM_LOCATION} from '../fleet-network.js';
 import {SMALL_FLEET} from '../fleet-plan.js';
 import type {FleetRun, FleetRunOptions} from '../fleet-run.js';
 import type {OutcomeReport} from '../outcome-report.js';
@@ -11,52 +11,56 @@
 import {pause} from '../waiting.js';
 import {failureLoad} from './failure-load.js';
 
-const CUT_OFF = 'kigali-2';
-const OTHER = 'kigali-1';
-const LIMIT_MILLISECONDS = 16_000;
-const CUT_MILLISECONDS = 4_000;
-/** A refusal for budget is owed only beyond 97 % of what was paid. */
-const MOST_UNUSABLE_PART = 0.03;
+const ISOLATED_DATA_CENTER = 'kigali-2';
+const OTHER_DATA_CENTER = 'kigali-1';
+const CONVERGENCE_LIMIT_MILLISECONDS = 16_000;
+const PARTITION_MILLISECONDS = 4_000;
+/** Refusals for lack of budget are allowed once 97 % of the prepaid tokens are used. */
+const MAXIMUM_UNUSED_SHARE = 0.03;
 
 function processesOf(hosts: readonly EntryHost[]) {
   return hosts.flatMap(({router, keeper}) => [router, keeper]);
 }
 
 /**
- * Tokens in grants after all hosts have stopped are of no use to anybody. A budget may
- * lie idle to a small part; a host that stopped in good order keeps nothing.
+ * Finds tokens that remain in grants after all hosts have stopped, where no request
+ * can use them. Up to 3 % of a budget may remain; a host that shut down gracefully
+ * must have returned all of its tokens.
+ *
+ * @returns Names of the report's fields that exceed their limit.
  */
-function unusableTokens(report: OutcomeReport): readonly string[] {
+function findUnusableTokens(report: OutcomeReport): readonly string[] {
   const {grantedTokens, grantedTokensOfStoppedHosts, budget} = report;
   return [
-    ...(grantedTokens > MOST_UNUSABLE_PART * budget ? ['grantedTokens'] : []),
+    ...(grantedTokens > MAXIMUM_UNUSED_SHARE * budget ? ['grantedTokens'] : []),
     ...(grantedTokensOfStoppedHosts > 0 ? ['grantedTokensOfStoppedHosts'] : []),
   ];
 }
 
 /**
- * Operators race, one data centre loses the platform and then everything, and a
- * host is replaced meanwhile. Each accepted version must reach every process and
- * none may go back.
+ * Two operators publish concurrently while one data centre loses its connection to
+ * the platform, then to the other data centre too, and one of its hosts is replaced.
+ * Each accepted version must reach every process, and no process may return to an
+ * older version.
  */
 export class ConfigurationInForceCase extends FleetCase {
   override readonly name = 'configuration-in-force';
   override readonly description =
-    'two operators race while a data centre is cut off and a host is replaced there; seconds until in force everywhere (limit 16 s)';
+    'two operators publish concurrently while a data centre is partitioned and one of its hosts replaced; seconds until each version is in force in every process (limit 16 s)';
 
-  protected override readonly mustBeZero = [
+  protected override readonly zeroFields = [
     'reverts',
     'lateVersions',
     'wrongWinners',
   ];
 
-  protected override options(seed: number): FleetRunOptions {
+  protected override fleetOptions(seed: number): FleetRunOptions {
     return failureLoad({...SMALL_FLEET, seed});
   }
 
-  protected override readonly brokenAtEnd = unusableTokens;
+  protected override readonly violationsAfterStop = findUnusableTokens;
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
     const watch = new VersionWatch(run.fleet);
     const watching = watch.run();
     let fields: CaseFields = {};
@@ -76,24 +80,40 @@
     watch: VersionWatch,
   ): Promise<CaseFields> {
     const {fleet} = run;
-    const everywhere = () => processesOf(fleet.hosts);
-    const inForce = (version: number) =>
-      watch.secondsUntil(version, everywhere, LIMIT_MILLISECONDS);
+    const allProcesses = () => processesOf(fleet.hosts);
+    const secondsUntilInForce = (version: number) =>
+      watch.secondsUntil(version, allProcesses, CONVERGENCE_LIMIT_MILLISECONDS);
 
     await run.publish(1);
-    const secondsUndisturbed = await inForce(2);
+    const secondsUndisturbed = await secondsUntilInForce(2);
 
-    await fleet.setNetwork(CUT_OFF, PLATFORM_PLACE, RelayState.Silent);
+    await fleet.setNetwork(
+      ISOLATED_DATA_CENTER,
+      PLATFORM_LOCATION,
+      RelayState.Silent,
+    );
     const outcomes = await Promise.all([run.tryPublish(2), run.tryPublish(2)]);
-    const secondsWithoutPlatform = await inForce(3);
+    const secondsWithoutPlatform = await secondsUntilInForce(3);
 
-    await fleet.setNetwork(CUT_OFF, OTHER, RelayState.Silent);
+    await fleet.setNetwork(
+      ISOLATED_DATA_CENTER,
+      OTHER_DATA_CENTER,
+      RelayState.Silent,
+    );
     await run.publish(3);
     const replacedVersion = await this.replaceHost(run, watch);
-    await pause(CUT_MILLISECONDS);
-    await fleet.setNetwork(CUT_OFF, OTHER, RelayState.Open);
-    await fleet.setNetwork(CUT_OFF, PLATFORM_PLACE, RelayState.Open);
-    const secondsAfterHeal = await inForce(4);
+    await pause(PARTITION_MILLISECONDS);
+    await fleet.setNetwork(
+      ISOLATED_DATA_CENTER,
+      OTHER_DATA_CENTER,
+      RelayState.Open,
+    );
+    await fleet.setNetwork(
+      ISOLATED_DATA_CENTER,
+      PLATFORM_LOCATION,
+      RelayState.Open,
+    );
+    const secondsAfterHeal = await secondsUntilInForce(4);
 
     const winners = outcomes.filter(
       outcome => outcome === PublicationOutcome.Accepted,
@@ -113,23 +133,24 @@
   }
 
   /**
-   * A fresh host in the cut-off data centre, which can ask only its neighbour.
+   * Replaces a host of the isolated data centre. The new host reaches neither the
+   * platform nor the other data centre, and can ask only its neighbour.
    *
-   * @returns The version that it came to without the platform; 3 is in force
-   *     there.
+   * @returns The configuration version that the new router reached during the
+   *     partition; version 3 is in force in the isolated data centre.
    */
   private async replaceHost(
     run: FleetRun,
     watch: VersionWatch,
   ): Promise<number> {
     const {fleet} = run;
-    const [victim] = fleet.hostsOf(CUT_OFF);
+    const [victim] = fleet.hostsOf(ISOLATED_DATA_CENTER);
     if (victim !== undefined) {
       await fleet.killHost(victim);
     }
-    const fresh = await fleet.addHost(CUT_OFF);
-    const processes = () => processesOf([fresh]);
-    await watch.secondsUntil(3, processes, LIMIT_MILLISECONDS);
-    return watch.versionOf(fresh.router);
+    const replacement = await fleet.addHost(ISOLATED_DATA_CENTER);
+    const processes = () => processesOf([replacement]);
+    await watch.secondsUntil(3, processes, CONVERGENCE_LIMIT_MILLISECONDS);
+    return watch.versionOf(replacement.router);
   }
 }
--- a/packages/measurements/src/cases/control-cost-case.ts
+++ b/packages/measurements/src/cases/control-cost-case.ts
@@ -10,28 +10,28 @@
 import {pause} from '../waiting.js';
 import {failureLoad} from './failure-load.js';
 
-/** Entry hosts of each of the two data centres. */
-const SIZES = [2, 4, 8];
+/** Entry hosts in each of the two data centres, one value per measured fleet. */
+const HOSTS_PER_DATA_CENTER = [2, 4, 8];
 const SETTLE_MILLISECONDS = 4_000;
 const MEASURED_MILLISECONDS = 10_000;
-/** A heartbeat as in operation, not the failure cases' faster one. */
+/** The production heartbeat; the failure cases use a shorter one. */
 const HEARTBEAT_MILLISECONDS = 1_000;
 const HEARTBEAT_LIMIT_MILLISECONDS = 5_000;
-const CPU_DECIMALS = 4;
+const CORE_SHARE_DECIMALS = 4;
 
 /**
- * What control costs a daemon that serves nobody: share of a core, resident
- * memory, and bytes a second, at three sizes. The letter allows 1.8 % of a core,
- * 256 MB and 4 KB a second.
+ * Measures the control overhead of an idle daemon at three fleet sizes: share of a
+ * core, resident memory, and bytes read and written per second. The requirements allow
+ * 1.8 % of a core, 256 MB and 4 KB per second.
  */
 export class ControlCostCase extends MeasureCase {
   override readonly name = 'control-cost';
   override readonly description =
-    'idle fleets of 4, 8 and 16 entry hosts, heartbeat 1 s: share of a core, resident memory and bytes a second of a keeper and a router';
+    'idle fleets of 4, 8 and 16 entry hosts, heartbeat 1 s: share of a core, resident memory and bytes per second of a keeper and a router';
 
   override async run(seed: number): Promise<CaseResult> {
     const sizes: ResultValue[] = [];
-    for (const hosts of SIZES) {
+    for (const hosts of HOSTS_PER_DATA_CENTER) {
       sizes.push(await this.measure(seed, hosts));
     }
     return {fields: {sizes}, passed: true};
@@ -50,8 +50,8 @@
       await pause(SETTLE_MILLISECONDS);
       const {hosts: running} = run.fleet;
       const [keepers, routers] = await Promise.all([
-        this.cost(running.map(host => host.keeper)),
-        this.cost(running.map(host => host.router)),
+        this.measureProcesses(running.map(host => host.keeper)),
+        this.measureProcesses(running.map(host => host.router)),
       ]);
       return {hosts: running.length, keeper: keepers, router: routers};
     } finally {
@@ -59,8 +59,11 @@
     }
   }
 
-  /** Means over the processes. */
-  private async cost(
+  /**
+   * Mean core share and bytes per second of the processes, and the largest resident
+   * memory.
+   */
+  private async measureProcesses(
     processes: readonly ManagedProcess[],
   ): Promise<ResultValue> {
     const before = processes.map(({pid}) => readProcessUsage(pid));
@@ -75,7 +78,7 @@
     const share = total('processorMilliseconds') / milliseconds;
     const resident = after.map(usage => usage.residentMegabytes);
     return {
-      coreShare: Number(share.toFixed(CPU_DECIMALS)),
+      coreShare: Number(share.toFixed(CORE_SHARE_DECIMALS)),
       residentMegabytes: Math.round(Math.max(...resident)),
       bytesPerSecond: Math.round(total('bytes') / seconds / processes.length),
     };
--- a/packages/measurements/src/cases/decisions-measure-case.ts
+++ b/packages/measurements/src/cases/decisions-measure-case.ts
@@ -2,18 +2,18 @@
 import type {DecisionsFigures} from '../decisions-tally.js';
 import {MeasureCase, type CaseResult} from '../measure-case.js';
 
-function refused(figures: DecisionsFigures): number {
+function countRefused(figures: DecisionsFigures): number {
   return Object.values(figures.refusals).reduce((sum, count) => sum + count, 0);
 }
 
-function total(
+function sumFigures(
   report: DecisionsReport,
   count: (figures: DecisionsFigures) => number,
 ): number {
   return report.variants.reduce((sum, {chosen}) => sum + count(chosen), 0);
 }
 
-function print(report: DecisionsReport): void {
+function printReport(report: DecisionsReport): void {
   for (const {name, chosen, baseline} of report.variants) {
     process.stdout.write(`${name}\n`);
     for (const [label, figures] of Object.entries({chosen, baseline})) {
@@ -24,9 +24,9 @@
 }
 
 /**
- * A case of the pure decisions: no process, no socket and no budget takes part,
- * so that the common fields about bills are 0. The common counts are those of
- * the chosen policies, over all variants.
+ * Runs a simulation of the placement decisions. It involves no processes, sockets or
+ * budgets, so the result's common fields about bills are 0. The common counts are
+ * those of the chosen policies, summed over all variants.
  */
 export class DecisionsMeasureCase extends MeasureCase {
   override readonly name: string;
@@ -40,7 +40,7 @@
 
   override run(seed: number): Promise<CaseResult> {
     const report = this.decisionsCase.run(seed);
-    print(report);
+    printReport(report);
     const last = report.variants.at(-1)?.chosen;
     const forgotten = report.variants.reduce(
       (sum, {chosen, baseline}) => sum + chosen.forgotten + baseline.forgotten,
@@ -49,9 +49,9 @@
     return Promise.resolve({
       passed: forgotten === 0,
       fields: {
-        requests: total(report, figures => figures.requests),
-        answered: total(report, figures => figures.answeredInTime),
-        refusedNotRun: total(report, refused),
+        requests: sumFigures(report, figures => figures.requests),
+        answered: sumFigures(report, figures => figures.answeredInTime),
+        refusedNotRun: sumFigures(report, countRefused),
         failed: 0,
         outcomeUnknown: 0,
         billed: 0,
--- a/packages/measurements/src/cases/demo-case.ts
+++ b/packages/measurements/src/cases/demo-case.ts
@@ -5,30 +5,30 @@
 
 const REQUESTS = 600;
 const CONCURRENCY = 24;
-const MOST_ATTEMPTS = 5;
+const MAXIMUM_ATTEMPTS = 5;
 const REPEAT_SHARE = 0.15;
 const KEYED_SHARE = 0.7;
 
-/** The demo: everything works, and one organisation runs out of budget. */
+/** The demo: no faults are injected, and one organisation exhausts its budget. */
 export class DemoCase extends FleetCase {
   override readonly name = 'demo';
   override readonly description =
-    'no fault; 600 requests of 5 organisations, one of which runs out of budget';
+    'no faults; 600 requests of 5 organisations, one of which exhausts its budget';
 
-  protected override options(seed: number): FleetRunOptions {
+  protected override fleetOptions(seed: number): FleetRunOptions {
     return failureLoad(
       {...SMALL_FLEET, seed},
       {
         keyedShare: KEYED_SHARE,
         concurrency: CONCURRENCY,
-        mostAttempts: MOST_ATTEMPTS,
+        maximumAttempts: MAXIMUM_ATTEMPTS,
         repeatShare: REPEAT_SHARE,
         pauseMilliseconds: 0,
       },
     );
   }
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
     await run.load.send(run.workload.requests(REQUESTS));
     return {};
   }
--- a/packages/measurements/src/cases/failure-load.ts
+++ b/packages/measurements/src/cases/failure-load.ts
@@ -2,25 +2,27 @@
 import type {FleetRunOptions} from '../fleet-run.js';
 import type {LoadOptions} from '../load-run.js';
 
-/** How callers of a case behave. */
+/** Behaviour of the callers in a case. */
 export interface CallerLoad extends LoadOptions {
-  /** Share (0 to 1) of completions that carry a key. */
+  /** Share (0 to 1) of completions that carry an idempotency key. */
   readonly keyedShare: number;
 }
 
 /**
- * Callers of the failure cases: all use keys and come back, and pause between
- * requests, so that the machine has room for what the failure adds.
+ * Callers of the failure cases. All of them send idempotency keys and retry; the pause
+ * between requests leaves processor time for the work that the failure causes.
  */
 const FAILURE_LOAD: CallerLoad = {
   keyedShare: 1,
   concurrency: 12,
-  mostAttempts: 8,
+  maximumAttempts: 8,
   repeatShare: 0.1,
   pauseMilliseconds: 50,
 };
 
-/** A fleet under the callers of the failure cases, or under others. */
+/**
+ * Options of a run under the load of the failure cases, with optional changes to it.
+ */
 export function failureLoad(
   plan: FleetPlan,
   changes: Partial<CallerLoad> = {},
@@ -29,8 +31,8 @@
   return {plan, keyedShare, load};
 }
 
-/** The demo's fleet with engines that keep streams open for long. */
-export function slowFleet(
+/** The demo's fleet with slower engines, so that streams stay open longer. */
+export function slowEngineFleet(
   seed: number,
   millisecondsPerToken: number,
 ): FleetPlan {
--- a/packages/measurements/src/cases/index.ts
+++ b/packages/measurements/src/cases/index.ts
@@ -17,7 +17,7 @@
 import {PlatformOutageCase} from './platform-outage-case.js';
 import {TwoHostsKilledCase} from './two-hosts-killed-case.js';
 
-/** Every case; one file each, one line each here. */
+/** All cases of the runner, in the order of `--list`. */
 export const CASES: readonly MeasureCase[] = [
   new BudgetReserveCase(),
   new ConfigurationInForceCase(),
--- a/packages/measurements/src/cases/leaving-endpoint-case.ts
+++ b/packages/measurements/src/cases/leaving-endpoint-case.ts
@@ -8,85 +8,89 @@
 import {failureLoad} from './failure-load.js';
 
 const CONCURRENCY = 24;
-const MOST_ATTEMPTS = 5;
+const MAXIMUM_ATTEMPTS = 5;
 const REPEAT_SHARE = 0.1;
 const KEYED_SHARE = 0.7;
 const PAUSE_MILLISECONDS = 5;
-const LEAVES_AFTER_MILLISECONDS = 1_500;
-/** The brief's "a few seconds". */
+const BASELINE_MILLISECONDS = 1_500;
+/**
+ * The requirements allow "a few seconds" until no new work is placed at the endpoint.
+ */
 const GRACE_MILLISECONDS = 3_000;
-const WATCHED_MILLISECONDS = 3_000;
-const LOOK_MILLISECONDS = 20;
+const OBSERVATION_MILLISECONDS = 3_000;
+const POLL_INTERVAL_MILLISECONDS = 20;
 
 interface AttemptList {
   readonly attempts: readonly {readonly attemptId: string}[];
 }
 
-async function attemptsAt(endpoint: RunningEndpoint): Promise<number> {
+async function countAttempts(endpoint: RunningEndpoint): Promise<number> {
   const list = await endpoint.control.read('/control/attempts');
   return (list as AttemptList).attempts.length;
 }
 
 /**
- * The platform's list says under load that one engine leaves. What runs there
- * ends; later than three seconds after the list says so, nothing new comes.
+ * Lists one engine as leaving while the fleet is under load. Attempts in progress at
+ * the engine finish; from three seconds after the change of the list, it must receive
+ * no new attempts.
  */
 export class LeavingEndpointCase extends FleetCase {
   override readonly name = 'leaving-endpoint';
   override readonly description =
     'an engine is listed as leaving under 24 callers; list lag 0.2 s';
 
-  protected override options(seed: number): FleetRunOptions {
+  protected override fleetOptions(seed: number): FleetRunOptions {
     return failureLoad(
       {...SMALL_FLEET, seed},
       {
         keyedShare: KEYED_SHARE,
         concurrency: CONCURRENCY,
-        mostAttempts: MOST_ATTEMPTS,
+        maximumAttempts: MAXIMUM_ATTEMPTS,
         repeatShare: REPEAT_SHARE,
         pauseMilliseconds: PAUSE_MILLISECONDS,
       },
     );
   }
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
-    let seen: CaseFields = {};
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
+    let fields: CaseFields = {};
     await run.loadWhile(async () => {
-      await pause(LEAVES_AFTER_MILLISECONDS);
-      seen = await this.watchLeaving(run);
+      await pause(BASELINE_MILLISECONDS);
+      fields = await this.observeLeaving(run);
     });
-    return seen;
+    return fields;
   }
 
-  protected override holds(own: CaseFields): boolean {
+  protected override meetsGoals(own: CaseFields): boolean {
     return own.newWorkAfterGrace === 0 && own.attemptsBeforeLeaving !== 0;
   }
 
-  private async watchLeaving(run: FleetRun): Promise<CaseFields> {
+  private async observeLeaving(run: FleetRun): Promise<CaseFields> {
     const {engines} = run.fleet;
     const engine = engines[run.random.below(engines.length)];
     if (engine === undefined) {
       throw new Error('the fleet has no engine');
     }
-    const attemptsBeforeLeaving = await attemptsAt(engine);
+    const attemptsBeforeLeaving = await countAttempts(engine);
     engine.state = ListedState.Leaving;
     await run.fleet.publishListing();
     const leftAt = performance.now();
-    let known = attemptsBeforeLeaving;
+    let previousCount = attemptsBeforeLeaving;
     let lastNewMilliseconds = 0;
     let newWorkAfterGrace = 0;
     for (
       let elapsed = 0;
-      elapsed < GRACE_MILLISECONDS + WATCHED_MILLISECONDS;
+      elapsed < GRACE_MILLISECONDS + OBSERVATION_MILLISECONDS;
     ) {
-      await pause(LOOK_MILLISECONDS);
+      await pause(POLL_INTERVAL_MILLISECONDS);
       elapsed = performance.now() - leftAt;
-      const now = await attemptsAt(engine);
-      if (now > known) {
+      const count = await countAttempts(engine);
+      if (count > previousCount) {
         lastNewMilliseconds = Math.round(elapsed);
-        newWorkAfterGrace += elapsed > GRACE_MILLISECONDS ? now - known : 0;
+        newWorkAfterGrace +=
+          elapsed > GRACE_MILLISECONDS ? count - previousCount : 0;
       }
-      known = now;
+      previousCount = count;
     }
     return {attemptsBeforeLeaving, lastNewMilliseconds, newWorkAfterGrace};
   }
--- a/packages/measurements/src/cases/pause-holder-case.ts
+++ b/packages/measurements/src/cases/pause-holder-case.ts
@@ -4,36 +4,37 @@
 import {pause} from '../waiting.js';
 import {failureLoad} from './failure-load.js';
 
-const BEFORE_MILLISECONDS = 3_000;
-/** Five times the delay after which a witness fences its holder. */
+const BASELINE_MILLISECONDS = 3_000;
+/** Five times the delay after which a witness fences its holder's grants. */
 const PAUSE_MILLISECONDS = 5_000;
-const AFTER_MILLISECONDS = 5_000;
+const RECOVERY_MILLISECONDS = 5_000;
 
 /**
- * A keeper stands still for longer than its witness waits, and then goes on as
- * if nothing had happened: what it held was fenced and reclaimed meanwhile.
+ * Suspends a keeper for longer than its witness's fence delay and then resumes it.
+ * Its grants were fenced and reclaimed during the pause, which the keeper doesn't
+ * know when it resumes.
  */
 export class PauseHolderCase extends FleetCase {
   override readonly name = 'pause-holder';
   override readonly description =
-    'a keeper of each data centre in turn stopped (SIGSTOP) for 5 s, five times the fence delay, then continued';
+    'a keeper of each data centre in turn suspended (SIGSTOP) for 5 s, five times the fence delay, then resumed';
 
-  protected override options(seed: number): FleetRunOptions {
+  protected override fleetOptions(seed: number): FleetRunOptions {
     return failureLoad({...SMALL_FLEET, seed});
   }
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
     const {fleet} = run;
     let pausedAt = 0;
     await run.loadWhile(async () => {
-      await pause(BEFORE_MILLISECONDS);
+      await pause(BASELINE_MILLISECONDS);
       pausedAt = performance.now();
       for (const {name} of fleet.plan.dataCenters) {
         const [victim] = fleet.hostsOf(name);
         victim?.keeper.pause();
         await pause(PAUSE_MILLISECONDS);
         victim?.keeper.resume();
-        await pause(AFTER_MILLISECONDS);
+        await pause(RECOVERY_MILLISECONDS);
       }
     });
     const {records} = run.load;
--- a/packages/measurements/src/cases/rolling-replacement-case.ts
+++ b/packages/measurements/src/cases/rolling-replacement-case.ts
@@ -5,39 +5,39 @@
 import {FleetCase, type CaseFields} from '../fleet-case.js';
 import type {FleetRun, FleetRunOptions} from '../fleet-run.js';
 import {pause} from '../waiting.js';
-import {failureLoad, slowFleet} from './failure-load.js';
+import {failureLoad, slowEngineFleet} from './failure-load.js';
 
 const CONCURRENCY = 24;
-const MOST_ATTEMPTS = 10;
+const MAXIMUM_ATTEMPTS = 10;
 const REPEAT_SHARE = 0.1;
 const KEYED_SHARE = 0.8;
 const PAUSE_MILLISECONDS = 20;
 const MILLISECONDS_PER_TOKEN = 8;
-/** A balancer's health checks take a while to notice. */
-const BALANCER_LAG_MILLISECONDS = 300;
-const SETTLING_IN_MILLISECONDS = 500;
+/** Delay until the load balancer's health checks detect a stopping router. */
+const BALANCER_DETECTION_MILLISECONDS = 300;
+const WARM_UP_MILLISECONDS = 500;
 
 /**
- * Every entry host is replaced under load, one after the other: a new one
- * starts, the old one is listed as leaving, its router is told to stop and ends
- * its streams, then its keeper returns its grants.
+ * Replaces every entry host under load, one at a time: a new host starts, the old one
+ * is listed as leaving, its router drains its streams on SIGTERM, and then its keeper
+ * returns its grants.
  */
 export class RollingReplacementCase extends FleetCase {
   override readonly name = 'rolling-replacement';
   override readonly description =
     'every entry host replaced in turn by SIGTERM under 24 callers; keeper times scaled to a tenth';
 
-  protected override options(seed: number): FleetRunOptions {
-    return failureLoad(slowFleet(seed, MILLISECONDS_PER_TOKEN), {
+  protected override fleetOptions(seed: number): FleetRunOptions {
+    return failureLoad(slowEngineFleet(seed, MILLISECONDS_PER_TOKEN), {
       keyedShare: KEYED_SHARE,
       concurrency: CONCURRENCY,
-      mostAttempts: MOST_ATTEMPTS,
+      maximumAttempts: MAXIMUM_ATTEMPTS,
       repeatShare: REPEAT_SHARE,
       pauseMilliseconds: PAUSE_MILLISECONDS,
     });
   }
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
     const replaced: boolean[] = [];
     await run.loadWhile(async () => {
       for (const host of [...run.fleet.hosts]) {
@@ -47,27 +47,27 @@
     const results = run.load.records.flatMap(record => record.results);
     return {
       replaced: replaced.length,
-      notStoppedInOrder: replaced.filter(inOrder => !inOrder).length,
+      notStoppedInOrder: replaced.filter(stopped => !stopped).length,
       cutStreams: results.filter(
         ({kind, requestId}) => kind === ResultKind.Lost && requestId !== '',
       ).length,
     };
   }
 
-  protected override holds(own: CaseFields): boolean {
-    return own.cutStreams === 0 && own.notStoppedInOrder === 0;
+  protected override meetsGoals(caseFields: CaseFields): boolean {
+    return caseFields.cutStreams === 0 && caseFields.notStoppedInOrder === 0;
   }
 
-  /** Returns true where the old host's processes stopped by themselves. */
+  /** @returns True if the old host's processes exited without SIGKILL. */
   private async replace(run: FleetRun, old: EntryHost): Promise<boolean> {
     const {fleet} = run;
-    const fresh = await fleet.addHost(old.dataCenter);
-    await run.waitReady([fresh]);
-    await pause(SETTLING_IN_MILLISECONDS);
+    const replacement = await fleet.addHost(old.dataCenter);
+    await run.waitUntilReady([replacement]);
+    await pause(WARM_UP_MILLISECONDS);
     old.state = ListedState.Leaving;
     await fleet.publishListing();
     const stopping = old.stop();
-    await pause(BALANCER_LAG_MILLISECONDS);
+    await pause(BALANCER_DETECTION_MILLISECONDS);
     fleet.hosts.splice(fleet.hosts.indexOf(old), 1);
     const stopped = await stopping;
     await fleet.publishListing();
--- a/packages/measurements/src/cases/two-hosts-killed-case.ts
+++ b/packages/measurements/src/cases/two-hosts-killed-case.ts
@@ -5,20 +5,20 @@
 import {failureLoad} from './failure-load.js';
 
 const HOSTS_PER_DATA_CENTER = 3;
-const BEFORE_MILLISECONDS = 3_000;
-const ALONE_MILLISECONDS = 4_000;
-const AFTER_MILLISECONDS = 5_000;
+const BASELINE_MILLISECONDS = 3_000;
+const REPLACEMENT_DELAY_MILLISECONDS = 4_000;
+const RECOVERY_MILLISECONDS = 5_000;
 
 /**
- * Two of three hosts of one data centre die at once: some grants lose holder and
- * witness together, and are stranded.
+ * Kills two of the three hosts of one data centre at the same time. Grants whose holder
+ * and witness both ran on them are stranded.
  */
 export class TwoHostsKilledCase extends FleetCase {
   override readonly name = 'two-hosts-killed';
   override readonly description =
-    'two of three hosts of one data centre killed at once, replaced 4 s later; grants that lost holder and witness stay stranded';
+    'two of three hosts of one data centre killed at the same time and replaced 4 s later; grants that lost holder and witness stay stranded';
 
-  protected override options(seed: number): FleetRunOptions {
+  protected override fleetOptions(seed: number): FleetRunOptions {
     const dataCenters = SMALL_FLEET.dataCenters.map(plan => ({
       ...plan,
       hosts: HOSTS_PER_DATA_CENTER,
@@ -26,23 +26,23 @@
     return failureLoad({...SMALL_FLEET, dataCenters, seed});
   }
 
-  protected override async act(run: FleetRun): Promise<CaseFields> {
+  protected override async runScenario(run: FleetRun): Promise<CaseFields> {
     const {fleet} = run;
     const [first] = fleet.plan.dataCenters;
     const dataCenter = first?.name ?? '';
     let killedAt = 0;
     await run.loadWhile(async () => {
-      await pause(BEFORE_MILLISECONDS);
+      await pause(BASELINE_MILLISECONDS);
       killedAt = performance.now();
       const victims = fleet.hostsOf(dataCenter).slice(0, 2);
       await Promise.all(victims.map(host => fleet.killHost(host)));
-      await pause(ALONE_MILLISECONDS);
+      await pause(REPLACEMENT_DELAY_MILLISECONDS);
       const added = [
         await fleet.addHost(dataCenter),
         await fleet.addHost(dataCenter),
       ];
-      await run.waitReady(added);
-      await pause(AFTER_MILLISECONDS);
+      await run.waitUntilReady(added);
+      await pause(RECOVERY_MILLISECONDS);
     });
     const {records} = run.load;
     return {
--- a/packages/measurements/src/control-client.ts
+++ b/packages/measurements/src/control-client.ts
@@ -1,9 +1,9 @@
 import {HttpPeer} from '@wisteriadeal/platform';
 
-const LIMIT_MILLISECONDS = 5_000;
-const FIRST_ERROR_STATUS = 400;
+const TIMEOUT_MILLISECONDS = 5_000;
+const MINIMUM_ERROR_STATUS = 400;
 
-/** Sends control requests to one process. */
+/** HTTP client of one process's control interface. */
 export class ControlClient {
   private readonly peer: HttpPeer;
 
@@ -13,27 +13,31 @@
   }
 
   /**
-   * Sends JSON.
+   * Sends a JSON value.
    *
-   * @throws Error where it is not taken.
+   * @throws Error if the response status is 400 or above, or the exchange fails.
    */
   async send(method: string, path: string, value: unknown): Promise<void> {
     await this.exchange(method, path, JSON.stringify(value));
   }
 
-  /** Reads JSON, whose kind the caller states. */
+  /**
+   * Reads a JSON value; its type is for the caller to assert.
+   *
+   * @throws Error if the response status is 400 or above, or the exchange fails.
+   */
   async read(path: string): Promise<unknown> {
     return JSON.parse(await this.exchange('GET', path));
   }
 
-  /** The status of a GET; 0 where there is no answer. */
+  /** Returns the status of a GET request, or 0 if the exchange fails. */
   async status(path: string): Promise<number> {
     try {
       const answer = await this.peer.exchange({
-        step: 'look at',
+        step: 'read status',
         method: 'GET',
         path,
-        timeouts: {connect: LIMIT_MILLISECONDS, total: LIMIT_MILLISECONDS},
+        timeouts: {connect: TIMEOUT_MILLISECONDS, total: TIMEOUT_MILLISECONDS},
       });
       return answer.status;
     } catch {
@@ -41,7 +45,7 @@
     }
   }
 
-  /** Ends open connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.peer.close();
   }
@@ -56,10 +60,10 @@
       method,
       path,
       ...(body === undefined ? {} : {body}),
-      timeouts: {connect: LIMIT_MILLISECONDS, total: LIMIT_MILLISECONDS},
+      timeouts: {connect: TIMEOUT_MILLISECONDS, total: TIMEOUT_MILLISECONDS},
     });
     const text = answer.body.toString();
-    if (answer.status >= FIRST_ERROR_STATUS) {
+    if (answer.status >= MINIMUM_ERROR_STATUS) {
       throw new Error(`${method} ${path}: HTTP ${answer.status}: ${text}`);
     }
     return text;
--- a/packages/measurements/src/entry-host.ts
+++ b/packages/measurements/src/entry-host.ts
@@ -2,21 +2,21 @@
 
 import type {KeeperPlan} from './fleet-plan.js';
 import type {ManagedProcess} from './managed-process.js';
-import {Binary, type ProcessStarter} from './process-starter.js';
+import {EntryScript, type ProcessStarter} from './process-starter.js';
 
 const DRAIN_LIMIT_MILLISECONDS = 10_000;
 const KEPT_ANSWER_BYTES = 16_777_216;
 const MAXIMUM_QUEUED_REQUESTS = 256;
 
-/** What an entry host is started with. */
+/** Start parameters of an entry host. */
 export interface EntryHostPlan {
   readonly host: string;
   readonly dataCenter: string;
-  /** `http://IP:port` by which this host reaches the platform. */
+  /** `http://IP:port` at which this host reaches the platform. */
   readonly platformUrl: string;
   readonly ledgerStreams: number;
   readonly keeper: KeeperPlan;
-  /** `IP:port` of keepers to ask while the platform is away. */
+  /** `IP:port` of the keepers to contact while the platform is unavailable. */
   readonly seedKeepers: readonly string[];
 }
 
@@ -61,9 +61,9 @@
   };
 }
 
-/** A router and a keeper, as they run on one entry host. */
+/** The router and keeper processes of one entry host. */
 export class EntryHost {
-  /** As the platform's list shows it. */
+  /** Its state in the platform's list. */
   state = ListedState.Live;
 
   private constructor(
@@ -72,19 +72,23 @@
     readonly router: ManagedProcess,
   ) {}
 
-  /** Starts the keeper, then the router. */
+  /**
+   * Starts the keeper, then the router.
+   *
+   * @throws Error if a process fails to start.
+   */
   static async start(
     starter: ProcessStarter,
     plan: EntryHostPlan,
   ): Promise<EntryHost> {
     const keeper = await starter.start(
-      Binary.Keeper,
+      EntryScript.Keeper,
       `${plan.host}-keeper`,
       keeperSettings(plan),
     );
     const keeperAddress = keeper.address('controlAddress');
     const router = await starter.start(
-      Binary.Router,
+      EntryScript.Router,
       `${plan.host}-router`,
       routerSettings(plan, keeperAddress),
     );
@@ -116,10 +120,10 @@
   }
 
   /**
-   * Stops in good order: the router finishes what runs, then the keeper returns
-   * its grants.
+   * Shuts down gracefully: the router drains its requests, then the keeper returns its
+   * grants.
    *
-   * @returns True where both stopped by themselves.
+   * @returns True if both processes exited without SIGKILL.
    */
   async stop(): Promise<boolean> {
     const router = await this.router.stop();
@@ -127,7 +131,7 @@
     return router && keeper;
   }
 
-  /** The host is gone at once. */
+  /** Kills both processes with SIGKILL. */
   async kill(): Promise<void> {
     await Promise.all([this.router.kill(), this.keeper.kill()]);
   }
--- a/packages/measurements/src/execution-audit.ts
+++ b/packages/measurements/src/execution-audit.ts
@@ -11,16 +11,16 @@
   readonly executions: Readonly<Record<string, number>>;
 }
 
-/** What the endpoints say that they ran. */
+/** Executions that the endpoints report, by request. */
 export class ExecutionAudit {
   private constructor(
-    /** Attempts that engines took up, by request identifier. */
+    /** Number of attempts that engines accepted, by request identifier. */
     private readonly attempts: ReadonlyMap<string, number>,
-    /** Executions of plain services, by request identifier. */
+    /** Number of executions at plain services, by request identifier. */
     private readonly executions: ReadonlyMap<string, number>,
   ) {}
 
-  /** Asks every endpoint. */
+  /** Reads the executions of all endpoints. */
   static async read(fleet: Fleet): Promise<ExecutionAudit> {
     const attempts = new Map<string, number>();
     for (const engine of fleet.engines) {
@@ -41,8 +41,8 @@
     return new ExecutionAudit(attempts, executions);
   }
 
-  /** How often a request ran at any endpoint. */
-  runs(requestId: string): number {
+  /** Returns how often a request ran, summed over all endpoints. */
+  countExecutions(requestId: string): number {
     return (
       (this.attempts.get(requestId) ?? 0) +
       (this.executions.get(requestId) ?? 0)
--- a/packages/measurements/src/fleet-case.ts
+++ b/packages/measurements/src/fleet-case.ts
@@ -8,10 +8,17 @@
 import {toCaseResult, type OutcomeReport} from './outcome-report.js';
 import type {RequestRecord} from './request-record.js';
 
-/** The case's own fields. */
+/** Result fields that only one case reports. */
 export type CaseFields = Readonly<Record<string, ResultValue>>;
 
-/** What callers got within a span of a case. */
+/**
+ * Counts the requests that started within a time span, and those of them that were
+ * answered.
+ *
+ * @param name Prefix of the returned fields.
+ * @param from Start of the span, in milliseconds on the runner's monotonic clock.
+ * @param until End of the span, exclusive.
+ */
 export function spanFields(
   name: string,
   records: readonly RequestRecord[],
@@ -31,40 +38,44 @@
   };
 }
 
-/** A case that runs a fleet under load while something happens to it. */
+/** A case that runs a fleet under load and injects faults into it. */
 export abstract class FleetCase extends MeasureCase {
-  /** The case's own fields that break a promise unless they are 0. */
-  protected readonly mustBeZero: readonly string[] = [];
+  /** Names of the case's own fields that violate an invariant unless they are 0. */
+  protected readonly zeroFields: readonly string[] = [];
 
-  /** How the fleet and its callers are set up. */
-  protected abstract options(seed: number): FleetRunOptions;
+  /** Returns the options of the fleet and its callers. */
+  protected abstract fleetOptions(seed: number): FleetRunOptions;
 
   /**
-   * Sends load and makes the faults.
+   * Sends load and injects the faults.
    *
    * @returns The case's own fields.
    */
-  protected abstract act(run: FleetRun): Promise<CaseFields>;
+  protected abstract runScenario(run: FleetRun): Promise<CaseFields>;
 
-  /** Whether the case's own fields keep its own promise. */
-  protected holds(own: CaseFields): boolean {
-    return own.passed !== false;
+  /** Returns true if the case's own fields meet its goals. */
+  protected meetsGoals(caseFields: CaseFields): boolean {
+    return caseFields.passed !== false;
   }
 
-  /** Promises of the case's own that are broken once all hosts have stopped. */
-  protected readonly brokenAtEnd: (report: OutcomeReport) => readonly string[] =
-    () => [];
+  /**
+   * Returns the names of the case's own invariants that are violated after all hosts
+   * have stopped.
+   */
+  protected readonly violationsAfterStop: (
+    report: OutcomeReport,
+  ) => readonly string[] = () => [];
 
   override async run(seed: number): Promise<CaseResult> {
-    const run = await FleetRun.start(this.options(seed));
+    const run = await FleetRun.start(this.fleetOptions(seed));
     let passed = false;
     try {
-      const own = await this.act(run);
-      const broken = this.mustBeZero.filter(name => own[name] !== 0);
+      const caseFields = await this.runScenario(run);
+      const violations = this.zeroFields.filter(name => caseFields[name] !== 0);
       const report = await run.finish();
-      broken.push(...this.brokenAtEnd(report));
-      const result = toCaseResult(report, own, broken);
-      passed = result.passed && this.holds(own);
+      violations.push(...this.violationsAfterStop(report));
+      const result = toCaseResult(report, caseFields, violations);
+      passed = result.passed && this.meetsGoals(caseFields);
       return {...result, passed};
     } finally {
       await run.close(!passed);
--- a/packages/measurements/src/fleet-configuration.ts
+++ b/packages/measurements/src/fleet-configuration.ts
@@ -20,8 +20,10 @@
   return {name, method, path, idempotent, tokens: CALL_TOKENS, outcomePath};
 }
 
-/** The lines that an operator of this fleet would write. */
-function describe(
+/**
+ * Builds the fleet's configuration with the same library calls that an operator uses.
+ */
+function buildConfiguration(
   fleet: Fleet,
   organisations: readonly OrganisationPlan[],
 ): ConfigurationBuilder {
@@ -66,15 +68,15 @@
 }
 
 /**
- * The configuration of a fleet, as the operators' library prints it and a
- * publisher reads it.
+ * Returns a fleet's configuration after a round trip through the JSON that the
+ * operators' library prints.
  */
 export function fleetConfiguration(
   fleet: Fleet,
   organisations: readonly OrganisationPlan[],
 ): Configuration {
   let printed = '';
-  describe(fleet, organisations).print(text => {
+  buildConfiguration(fleet, organisations).print(text => {
     printed += text;
   });
   return fromJsonString(ConfigurationSchema, printed);
--- a/packages/measurements/src/fleet-main.ts
+++ b/packages/measurements/src/fleet-main.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * A fleet on loopback to try things on: the stand-ins and two entry hosts in
- * each of two data centres, without a configuration. It runs until interrupted.
+ * Starts a development fleet on loopback: the stand-ins and two entry hosts in each of
+ * two data centres, without a configuration. It runs until SIGINT or SIGTERM.
  */
 async function main(): Promise<void> {
   const fleet = await Fleet.start(SMALL_FLEET);
@@ -56,7 +56,7 @@
   const text = JSON.stringify(addresses, undefined, 2);
   await writeFile(`${DIRECTORY}/addresses.json`, `${text}\n`);
   process.stdout.write(
-    `${text}\nThe fleet runs; ${DIRECTORY}/ holds these addresses and the settings of the command line.\nInterrupt to end it.\n`,
+    `${text}\nThe fleet is running; ${DIRECTORY}/ contains these addresses and the settings of the command line.\nPress Ctrl+C to stop it.\n`,
   );
   await Promise.race([once(process, 'SIGINT'), once(process, 'SIGTERM')]);
   await fleet.close();
--- a/packages/measurements/src/fleet-network.ts
+++ b/packages/measurements/src/fleet-network.ts
@@ -2,27 +2,40 @@
 
 import {Relay, RelayState} from './relay.js';
 
-/** What stands for the platform's place in the network. */
-export const PLATFORM_PLACE = 'platform';
+/** Name of the platform's network location; the other locations are data centres. */
+export const PLATFORM_LOCATION = 'platform';
 
 interface Link {
-  /** Data centre or platform. */
+  /** Location of the connecting side: a data centre or the platform. */
   readonly from: string;
   readonly to: string;
-  /** Stored before it listens, so that two askers get the same one. */
+  /**
+   * Stored as a promise before the relay listens, so that concurrent callers share one
+   * relay.
+   */
   readonly relay: Promise<Relay>;
 }
 
 /**
- * The network between data centres, and between each of them and the platform:
- * every crossing goes through a relay, so that it can be cut.
+ * The simulated network between data centres, and between each of them and the
+ * platform. Every connection between two locations goes through a relay, so that
+ * partitions can be injected.
  */
 export class FleetNetwork {
   private readonly links = new Map<string, Link>();
   private readonly states = new Map<string, RelayState>();
 
-  /** The address by which a place reaches a target in another place. */
-  async reach(from: string, to: string, target: string): Promise<string> {
+  /**
+   * Returns the address by which processes in one location connect to a target in
+   * another.
+   *
+   * @param target `IP:port` of the target.
+   */
+  async resolveAddress(
+    from: string,
+    to: string,
+    target: string,
+  ): Promise<string> {
     if (from === to) {
       return target;
     }
@@ -30,36 +43,38 @@
     const link = this.links.get(key) ?? {from, to, relay: Relay.listen(target)};
     this.links.set(key, link);
     const relay = await link.relay;
-    relay.set(this.stateBetween(from, to));
+    relay.setState(this.stateBetween(from, to));
     return relay.address;
   }
 
-  /** A host as a viewer in another place reaches it. */
-  async view(from: string, host: ListedHost): Promise<ListedHost> {
-    const reach = (address: string) =>
-      this.reach(from, host.dataCenter, address);
+  /**
+   * Returns a host's list entry with the addresses that are reachable from a location.
+   */
+  async resolveHost(from: string, host: ListedHost): Promise<ListedHost> {
+    const resolve = (address: string) =>
+      this.resolveAddress(from, host.dataCenter, address);
     return {
       ...host,
-      keeperAddress: await reach(host.keeperAddress),
-      routerControlAddress: await reach(host.routerControlAddress),
+      keeperAddress: await resolve(host.keeperAddress),
+      routerControlAddress: await resolve(host.routerControlAddress),
     };
   }
 
-  /** Cuts or heals between two places, both ways. */
-  async set(one: string, other: string, state: RelayState): Promise<void> {
+  /** Sets the state of all connections between two locations, in both directions. */
+  async setState(one: string, other: string, state: RelayState): Promise<void> {
     this.states.set(`${one}|${other}`, state);
     this.states.set(`${other}|${one}`, state);
     for (const link of this.links.values()) {
-      const between =
+      const isBetween =
         (link.from === one && link.to === other) ||
         (link.from === other && link.to === one);
-      if (between) {
-        (await link.relay).set(state);
+      if (isBetween) {
+        (await link.relay).setState(state);
       }
     }
   }
 
-  /** Ends every relay. */
+  /** Closes all relays. */
   async close(): Promise<void> {
     for (const link of this.links.values()) {
       await (await link.relay).close();
--- a/packages/measurements/src/fleet-plan.ts
+++ b/packages/measurements/src/fleet-plan.ts
@@ -1,4 +1,4 @@
-/** Sizes of a fleet that the runner starts. */
+/** Sizes and times of a fleet that the runner starts. */
 export interface FleetPlan {
   readonly dataCenters: readonly DataCenterPlan[];
   readonly engine: EnginePlan;
@@ -9,7 +9,7 @@
   readonly seed: number;
 }
 
-/** One data centre. */
+/** Numbers of entry hosts, engines and plain services in one data centre. */
 export interface DataCenterPlan {
   readonly name: string;
   readonly hosts: number;
@@ -17,7 +17,7 @@
   readonly plainServices: number;
 }
 
-/** How its engines work. */
+/** Capacity and speed of the engines. */
 export interface EnginePlan {
   readonly slots: number;
   readonly maximumWaiting: number;
@@ -25,7 +25,7 @@
   readonly promptTokensPerStep: number;
 }
 
-/** Times of the keepers, in milliseconds. */
+/** Settings of the keepers; all times are in milliseconds. */
 export interface KeeperPlan {
   readonly platformTimeout: number;
   readonly billFlush: number;
@@ -51,8 +51,8 @@
     millisecondsPerToken: 3,
     promptTokensPerStep: 64,
   },
-  // Faster than in operation, so that a case ends within a minute; each case
-  // states the scale.
+  // Shorter than in production, so that a case ends within a minute; each case states
+  // the scale.
   keeper: {
     platformTimeout: 1_000,
     billFlush: 50,
--- a/packages/measurements/src/fleet.ts
+++ b/packages/measurements/src/fleet.ts
@@ -6,10 +6,10 @@
 
 import {ControlClient} from './control-client.js';
 import {EntryHost} from './entry-host.js';
-import {FleetNetwork, PLATFORM_PLACE} from './fleet-network.js';
+import {FleetNetwork, PLATFORM_LOCATION} from './fleet-network.js';
 import type {FleetPlan} from './fleet-plan.js';
 import type {ManagedProcess} from './managed-process.js';
-import {Binary, ProcessStarter} from './process-starter.js';
+import {EntryScript, ProcessStarter} from './process-starter.js';
 import type {RelayState} from './relay.js';
 
 const LOG_TIMEOUT_MILLISECONDS = 5_000;
@@ -18,21 +18,21 @@
 const CACHE_EVENT_LOSS_SHARE = 0.1;
 const WEIGHT_TICKETS_EACH_MINUTE = 60;
 
-/** An endpoint's process and where it stands. */
+/** An endpoint's process, with its data centre and listed state. */
 export interface RunningEndpoint {
   readonly name: string;
   readonly dataCenter: string;
   readonly process: ManagedProcess;
   readonly control: ControlClient;
-  /** True where it refuses an order with an old fencing number. */
+  /** True if it rejects orders that carry an outdated fencing number. */
   readonly checksFencingNumbers: boolean;
-  /** As the platform's list shows it. */
+  /** Its state in the platform's list. */
   state: ListedState;
 }
 
 /**
- * A whole fleet as separate processes on loopback: stand-ins of the platform,
- * engines and plain services, and entry hosts with a keeper and a router each.
+ * A fleet of separate processes on loopback: stand-ins for the platform, engines and
+ * plain services, and entry hosts with a keeper and a router each.
  */
 export class Fleet {
   readonly network = new FleetNetwork();
@@ -45,20 +45,20 @@
     readonly plan: FleetPlan,
     private readonly starter: ProcessStarter,
     private readonly platform: ManagedProcess,
-    /** Control of the platform's stand-in. */
+    /** Client of the platform stand-in's control interface. */
     readonly platformControl: ControlClient,
-    /** The log, as operators and auditors reach it. */
+    /** Client of the platform's log; it connects directly, not through a relay. */
     readonly log: HttpLogClient,
   ) {}
 
   /**
-   * Starts every process of the plan and shows the hosts in the platform's list.
+   * Starts all processes of the plan and publishes the hosts in the platform's list.
    *
-   * @throws Error where a process does not start.
+   * @throws Error if a process fails to start.
    */
   static async start(plan: FleetPlan): Promise<Fleet> {
     const starter = new ProcessStarter();
-    const platform = await starter.start(Binary.Platform, 'platform', {
+    const platform = await starter.start(EntryScript.Platform, 'platform', {
       process: standInProcess('platform', plan.seed),
       listLagMilliseconds: plan.listLagMilliseconds,
       weightTicketsEachMinute: WEIGHT_TICKETS_EACH_MINUTE,
@@ -70,11 +70,11 @@
     });
     const control = new ControlClient(address);
     const fleet = new Fleet(plan, starter, platform, control, log);
-    await fleet.startParts();
+    await fleet.startProcesses();
     return fleet;
   }
 
-  /** Directory of settings and output of the processes. */
+  /** Directory with the settings and output of the processes. */
   get outputDirectory(): string {
     return this.starter.directory;
   }
@@ -84,21 +84,26 @@
     return this.platform.address('address');
   }
 
-  /** Where callers may connect, by the platform's balancer. */
+  /**
+   * Caller addresses of all live hosts, as the platform's load balancer offers them.
+   */
   get callerAddresses(): readonly string[] {
     return this.hosts
       .filter(({state}) => state === ListedState.Live)
       .map(({callerAddress}) => callerAddress);
   }
 
-  /** Starts one more entry host and lists it. */
+  /** Starts another entry host and publishes it in the platform's list. */
   async addHost(dataCenter: string): Promise<EntryHost> {
     const host = await this.startHost(dataCenter);
     await this.publishListing();
     return host;
   }
 
-  /** Tells the platform's stand-in the hosts and endpoints, for each viewer. */
+  /**
+   * Publishes the list of hosts and endpoints, with the addresses that each viewing
+   * host can reach.
+   */
   async publishListing(): Promise<void> {
     for (const viewer of this.hosts) {
       const path = `/control/listing?viewer=${viewer.name}`;
@@ -107,7 +112,10 @@
     }
   }
 
-  /** A host is gone at once; the list shows it after its lag. */
+  /**
+   * Kills a host's processes with SIGKILL; the platform's list reflects it after its
+   * lag.
+   */
   async killHost(host: EntryHost): Promise<void> {
     await host.kill();
     this.hosts.splice(this.hosts.indexOf(host), 1);
@@ -115,9 +123,9 @@
   }
 
   /**
-   * Takes a host out in good order: listed as leaving first, then stopped.
+   * Shuts a host down gracefully: lists it as leaving, then stops its processes.
    *
-   * @returns True where its processes stopped by themselves.
+   * @returns True if its processes exited without SIGKILL.
    */
   async retireHost(host: EntryHost): Promise<boolean> {
     host.state = ListedState.Leaving;
@@ -128,29 +136,31 @@
     return stopped;
   }
 
-  /** The entry hosts of one data centre. */
+  /** Returns the entry hosts of one data centre. */
   hostsOf(dataCenter: string): readonly EntryHost[] {
     return this.hosts.filter(host => host.dataCenter === dataCenter);
   }
 
-  /** Cuts or heals between two data centres, or one and the platform. */
+  /**
+   * Sets the network state between two data centres, or between one and the platform.
+   */
   async setNetwork(
     one: string,
     other: string,
     state: RelayState,
   ): Promise<void> {
-    await this.network.set(one, other, state);
+    await this.network.setState(one, other, state);
   }
 
-  /** Sets the faults of the platform's stand-in as a whole. */
+  /** Replaces all faults of the platform stand-in. */
   async setPlatformFaults(faults: Record<string, unknown>): Promise<void> {
     await this.platformControl.send('POST', '/control/faults', faults);
   }
 
   /**
-   * Stops all hosts in good order.
+   * Shuts all hosts down gracefully, the routers before the keepers.
    *
-   * @returns Names of the hosts whose keeper stopped by itself.
+   * @returns Names of the hosts whose keeper exited without SIGKILL.
    */
   async stopHosts(): Promise<readonly string[]> {
     const hosts = [...this.hosts];
@@ -159,7 +169,11 @@
     return hosts.filter((_, index) => stopped[index]).map(({name}) => name);
   }
 
-  /** Ends everything. */
+  /**
+   * Stops all processes and closes all connections.
+   *
+   * @param keepOutput Keeps the directory of the processes' settings and output.
+   */
   async close(keepOutput = false): Promise<void> {
     const controls = [...this.engines, ...this.plainServices];
     await Promise.all(controls.map(endpoint => endpoint.control.close()));
@@ -169,16 +183,17 @@
     await this.network.close();
   }
 
-  private async startParts(): Promise<void> {
+  private async startProcesses(): Promise<void> {
     const starts = this.plan.dataCenters.flatMap(plan => [
       this.startEngines(plan.name, plan.engines),
       this.startPlainServices(plan.name, plan.plainServices),
       this.startHosts(plan.name, plan.hosts),
     ]);
     try {
-      // All of them, also after one failed: what starts late must be ended too.
+      // Waits for all starts even if one fails, so that close() also ends the processes
+      // that start late.
       const results = await Promise.allSettled(starts);
-      throwFirst(results);
+      throwFirstRejection(results);
       await this.publishListing();
     } catch (error) {
       await this.close(true);
@@ -196,21 +211,23 @@
   private async startHost(dataCenter: string): Promise<EntryHost> {
     const name = `${dataCenter}-host-${++this.hostCount}`;
     const platform = this.platform.address('address');
-    const reached = await this.network.reach(
+    const platformAddress = await this.network.resolveAddress(
       dataCenter,
-      PLATFORM_PLACE,
+      PLATFORM_LOCATION,
       platform,
     );
-    const seeds = this.hosts.map(host =>
-      this.network.view(dataCenter, host.listed),
+    const seedHosts = this.hosts.map(host =>
+      this.network.resolveHost(dataCenter, host.listed),
     );
     const host = await EntryHost.start(this.starter, {
       host: name,
       dataCenter,
-      platformUrl: `http://${reached}`,
+      platformUrl: `http://${platformAddress}`,
       ledgerStreams: this.plan.ledgerStreams,
       keeper: this.plan.keeper,
-      seedKeepers: (await Promise.all(seeds)).map(seed => seed.keeperAddress),
+      seedKeepers: (await Promise.all(seedHosts)).map(
+        seed => seed.keeperAddress,
+      ),
     });
     this.hosts.push(host);
     return host;
@@ -221,7 +238,7 @@
       const name = `${dataCenter}-engine-${index + 1}`;
       const {engine} = this.plan;
       const checksFencingNumbers = index % 2 === 0;
-      const child = await this.starter.start(Binary.Engine, name, {
+      const child = await this.starter.start(EntryScript.Engine, name, {
         process: standInProcess(name, this.plan.seed + index),
         slots: engine.slots,
         maximumWaiting: engine.maximumWaiting,
@@ -245,7 +262,7 @@
   ): Promise<void> {
     const starts = Array.from({length: count}, async (_, index) => {
       const name = `${dataCenter}-registry-${index + 1}`;
-      const child = await this.starter.start(Binary.PlainService, name, {
+      const child = await this.starter.start(EntryScript.PlainService, name, {
         process: standInProcess(name, this.plan.seed + index),
         millisecondsPerCall: this.plan.millisecondsPerCall,
       });
@@ -256,7 +273,7 @@
 
   private async listingFor(dataCenter: string): Promise<HostListing> {
     const hosts = this.hosts.map(host =>
-      this.network.view(dataCenter, host.listed),
+      this.network.resolveHost(dataCenter, host.listed),
     );
     const endpoints = [...this.engines, ...this.plainServices].map(
       ({name, state}) => ({endpoint: name, state}),
@@ -265,7 +282,9 @@
   }
 }
 
-function throwFirst(results: readonly PromiseSettledResult<unknown>[]): void {
+function throwFirstRejection(
+  results: readonly PromiseSettledResult<unknown>[],
+): void {
   const failed = results.find(result => result.status === 'rejected');
   if (failed?.status === 'rejected') {
     throw failed.reason;
--- a/packages/measurements/src/ledger-audit.ts
+++ b/packages/measurements/src/ledger-audit.ts
@@ -7,26 +7,26 @@
   type GrantState,
 } from '@wisteriadeal/schema';
 
-const READ_LIMIT = 1_000;
+const RECORDS_PER_PAGE = 1_000;
 
-/** One organisation's books, as the log has them. */
+/** One organisation's token totals in the ledger. */
 export interface OrganisationAudit {
   readonly organisation: string;
   readonly creditedTokens: number;
   readonly billedTokens: number;
   readonly unallocatedTokens: number;
-  /** In grants, neither billed nor returned. */
+  /** Tokens in grants, neither billed nor returned. */
   readonly grantedTokens: number;
 }
 
-/** What folding the whole log shows. */
+/** The state that results from folding all ledger streams. */
 export interface LedgerAudit {
   readonly organisations: readonly OrganisationAudit[];
-  /** The bill that counts, by request identifier. */
+  /** The accepted bill of each request, by request identifier. */
   readonly bills: ReadonlyMap<string, Bill>;
-  /** Grants that still hold tokens. */
+  /** Grants that contain unbilled tokens. */
   readonly openGrants: readonly GrantState[];
-  /** Accepted bills beyond the first of a request identifier. */
+  /** Accepted bills after the first one of the same request identifier. */
   readonly billedTwice: number;
   readonly records: number;
 }
@@ -41,7 +41,7 @@
   async readStream(log: LogClient, stream: string): Promise<void> {
     const fold = new LedgerFold();
     for (;;) {
-      const page = await log.read(stream, fold.nextOffset, READ_LIMIT, 0);
+      const page = await log.read(stream, fold.nextOffset, RECORDS_PER_PAGE, 0);
       for (const record of page.records) {
         this.records++;
         this.apply(fold, record.offset, record.payload);
@@ -73,28 +73,35 @@
         continue;
       }
       if (entry?.kind.case === 'bill') {
-        this.noteBill(entry.kind.value);
+        this.recordBill(entry.kind.value);
       } else if (entry?.kind.case === 'reclaim') {
-        this.noteReclaimed(fold, entry.organisation, entry.kind.value.settled);
+        this.recordReclaimedBills(
+          fold,
+          entry.organisation,
+          entry.kind.value.settled,
+        );
       }
     }
   }
 
-  /** A reclaim bills what its witness saw settled, unless it was billed before. */
-  private noteReclaimed(
+  /**
+   * A reclaim bills the requests that the witness recorded as settled, unless they were
+   * billed before.
+   */
+  private recordReclaimedBills(
     fold: LedgerFold,
     organisation: string,
     settled: readonly Bill[],
   ): void {
     for (const bill of settled) {
-      const counts = fold.isBilled(organisation, bill.requestId);
-      if (counts && !this.bills.has(bill.requestId)) {
+      const isBilled = fold.isBilled(organisation, bill.requestId);
+      if (isBilled && !this.bills.has(bill.requestId)) {
         this.bills.set(bill.requestId, bill);
       }
     }
   }
 
-  private noteBill(bill: Bill): void {
+  private recordBill(bill: Bill): void {
     if (this.bills.has(bill.requestId)) {
       this.billedTwice++;
     } else {
@@ -104,7 +111,7 @@
 }
 
 /**
- * Reads every ledger stream from its start and folds it, as any reader does.
+ * Reads and folds all ledger streams from their start.
  *
  * @example
  * ```ts
--- a/packages/measurements/src/load-run.ts
+++ b/packages/measurements/src/load-run.ts
@@ -7,18 +7,22 @@
 import {RequestRecord} from './request-record.js';
 import {pause} from './waiting.js';
 
-const FIRST_BACKOFF_MILLISECONDS = 100;
-const LONGEST_BACKOFF_MILLISECONDS = 2_000;
+const INITIAL_BACKOFF_MILLISECONDS = 100;
+const MAXIMUM_BACKOFF_MILLISECONDS = 2_000;
 
-/** How callers behave. */
+/** Behaviour of the simulated callers. */
 export interface LoadOptions {
-  /** Requests in progress at once. */
+  /** Number of callers, each with at most one request in progress. */
   readonly concurrency: number;
-  /** Exchanges for one request at most. */
-  readonly mostAttempts: number;
-  /** Share (0 to 1) of answered requests with a key that are asked for again. */
+  /**
+   * Maximum number of exchanges for one request, before any repeat of an answered one.
+   */
+  readonly maximumAttempts: number;
+  /**
+   * Share (0 to 1) of answered requests with an idempotency key that are sent again.
+   */
   readonly repeatShare: number;
-  /** Pause of each caller between two requests. */
+  /** Pause of each caller between two requests, in milliseconds. */
   readonly pauseMilliseconds: number;
 }
 
@@ -29,8 +33,9 @@
 ]);
 
 /**
- * Sends requests as callers do: to any host, again with the same key where the
- * connection broke or the host said to come back, and at another host then.
+ * Sends requests as callers do: each exchange goes to a random host. A request that was
+ * refused temporarily is retried; after a broken connection, a request is retried only
+ * if it has an idempotency key. Retries send the same key.
  */
 export class LoadRun {
   readonly records: RequestRecord[] = [];
@@ -42,11 +47,11 @@
     private readonly options: LoadOptions,
   ) {}
 
-  /** Sends all requests, and resolves when each has its last result. */
+  /** Sends all requests and resolves when each has its final result. */
   async send(requests: readonly CallerRequest[]): Promise<void> {
-    const waiting = [...requests];
+    const queue = [...requests];
     const caller = async () => {
-      for (let next = waiting.shift(); next; next = waiting.shift()) {
+      for (let next = queue.shift(); next; next = queue.shift()) {
         await this.sendOne(next);
         await pause(this.options.pauseMilliseconds);
       }
@@ -55,25 +60,25 @@
   }
 
   /**
-   * Sends requests until told to stop, and resolves when each has its last
+   * Sends requests until a signal is aborted, and resolves when each has its final
    * result.
    *
-   * @param make Makes the next request.
+   * @param createRequest Returns the next request.
    */
   async sendUntil(
     stopped: AbortSignal,
-    make: () => CallerRequest,
+    createRequest: () => CallerRequest,
   ): Promise<void> {
     const caller = async () => {
       while (!stopped.aborted) {
-        await this.sendOne(make());
+        await this.sendOne(createRequest());
         await pause(this.options.pauseMilliseconds);
       }
     };
     await Promise.all(Array.from({length: this.options.concurrency}, caller));
   }
 
-  /** Ends open connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await Promise.all([...this.clients.values()].map(client => client.close()));
   }
@@ -81,19 +86,21 @@
   private async sendOne(request: CallerRequest): Promise<void> {
     const record = new RequestRecord(request);
     this.records.push(record);
-    for (let attempt = 1; attempt <= this.options.mostAttempts; attempt++) {
+    for (let attempt = 1; attempt <= this.options.maximumAttempts; attempt++) {
       const result = await this.exchange(request);
       record.add(result);
-      if (!mayRetry(request, result)) {
+      if (!isRetryable(request, result)) {
         break;
       }
       await pause(backoff(attempt, result));
     }
-    await this.repeat(record);
+    await this.repeatAnswered(record);
   }
 
-  /** Asks again for what was answered, as a caller does that lost its copy. */
-  private async repeat(record: RequestRecord): Promise<void> {
+  /**
+   * Repeats a share of the answered requests, as a caller does that lost the answer.
+   */
+  private async repeatAnswered(record: RequestRecord): Promise<void> {
     const answered = record.final?.kind === ResultKind.Answered;
     const chosen = this.random.fraction() < this.options.repeatShare;
     if (answered && chosen && record.request.key !== undefined) {
@@ -108,9 +115,9 @@
   }
 
   private client(address: string): CallerClient {
-    const known = this.clients.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.clients.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const client = new CallerClient(address);
     this.clients.set(address, client);
@@ -118,7 +125,7 @@
   }
 }
 
-function mayRetry(request: CallerRequest, result: CallerResult): boolean {
+function isRetryable(request: CallerRequest, result: CallerResult): boolean {
   if (result.kind === ResultKind.Lost) {
     return request.key !== undefined;
   }
@@ -126,7 +133,7 @@
 }
 
 function backoff(attempt: number, result: CallerResult): number {
-  const own = FIRST_BACKOFF_MILLISECONDS * 2 ** (attempt - 1);
-  const wanted = Math.max(own, result.retryAfterMilliseconds);
-  return Math.min(wanted, LONGEST_BACKOFF_MILLISECONDS);
+  const exponential = INITIAL_BACKOFF_MILLISECONDS * 2 ** (attempt - 1);
+  const delay = Math.max(exponential, result.retryAfterMilliseconds);
+  return Math.min(delay, MAXIMUM_BACKOFF_MILLISECONDS);
 }
--- a/packages/measurements/src/managed-process.ts
+++ b/packages/measurements/src/managed-process.ts
@@ -2,25 +2,25 @@
 import {createWriteStream, type WriteStream} from 'node:fs';
 import {createInterface} from 'node:readline';
 
-/** A process that has not said `listening` by then is taken to be broken. */
-const START_LIMIT_MILLISECONDS = 15_000;
-/** A process that has not stopped by then is killed. */
-const STOP_LIMIT_MILLISECONDS = 15_000;
-/** Last lines kept for the error of a process that ends early. */
-const LINES_KEPT = 20;
-
-/** What to start. */
+/** A process that hasn't logged `listening` after this time has failed to start. */
+const START_TIMEOUT_MILLISECONDS = 15_000;
+/** A process that hasn't exited this long after SIGTERM is killed. */
+const STOP_TIMEOUT_MILLISECONDS = 15_000;
+/** Number of last output lines kept for the error of a failed start. */
+const RETAINED_LINES = 20;
+
+/** Start parameters of a process. */
 export interface ProcessPlan {
-  /** Name for errors and for the log file. */
+  /** Name used in errors and for the log file. */
   readonly name: string;
   /** Path of the entry file. */
   readonly script: string;
   readonly settingsPath: string;
-  /** Gets all that the process prints. */
+  /** File that receives the process's standard output and standard error. */
   readonly outputPath: string;
 }
 
-/** Fields of the line `listening`. */
+/** Fields of the log line with the event `listening`. */
 export type ListeningFields = Readonly<Record<string, unknown>>;
 
 function parseListening(line: string): ListeningFields | undefined {
@@ -36,13 +36,13 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds).unref());
 }
 
-/** One started process, ended by its own identifier only. */
+/** A child process; signals go only to its own process identifier. */
 export class ManagedProcess {
-  /** Resolves when the process has ended. */
+  /** Resolves when the process has exited. */
   readonly exited: Promise<void>;
-  private ended = false;
+  private hasExited = false;
   private listeningFields: ListeningFields = {};
-  private readonly lines: string[] = [];
+  private readonly recentLines: string[] = [];
   private constructor(
     readonly name: string,
     private readonly child: ChildProcess,
@@ -50,7 +50,7 @@
   ) {
     this.exited = new Promise(resolve => {
       child.once('exit', () => {
-        this.ended = true;
+        this.hasExited = true;
         output.end();
         resolve();
       });
@@ -58,9 +58,10 @@
   }
 
   /**
-   * Starts a process and waits for its line `listening`.
+   * Starts a process and waits for its `listening` log line.
    *
-   * @throws Error with its last lines where it ends or says nothing in time.
+   * @throws Error with its last output lines, if it exits or doesn't log `listening`
+   *     within 15 s.
    */
   static async start(plan: ProcessPlan): Promise<ManagedProcess> {
     const child = spawn(
@@ -69,19 +70,21 @@
       {stdio: ['ignore', 'pipe', 'pipe']},
     );
     const output = createWriteStream(plan.outputPath);
-    const started = new ManagedProcess(plan.name, child, output);
-    const listening = started.readOutput(child);
+    const managed = new ManagedProcess(plan.name, child, output);
+    const listening = managed.readOutput(child);
     const inTime = await Promise.race([
       listening.then(() => true),
-      started.exited.then(() => false),
-      delay(START_LIMIT_MILLISECONDS).then(() => false),
+      managed.exited.then(() => false),
+      delay(START_TIMEOUT_MILLISECONDS).then(() => false),
     ]);
     if (!inTime) {
       child.kill('SIGKILL');
-      const lines = started.lines.join('\n');
-      throw new Error(`${plan.name} did not start to listen:\n${lines}`);
+      const lines = managed.recentLines.join('\n');
+      throw new Error(
+        `${plan.name} exited or exceeded the start time limit before it logged "listening":\n${lines}`,
+      );
     }
-    return started;
+    return managed;
   }
 
   /** Process identifier. */
@@ -89,43 +92,47 @@
     return this.child.pid ?? 0;
   }
 
-  /** True until the process has ended. */
+  /** True until the process has exited. */
   get running(): boolean {
-    return !this.ended;
+    return !this.hasExited;
   }
 
-  /** A field of the line `listening`. */
+  /** Returns an address field of the `listening` log line. */
   address(field: string): string {
     return String(this.listeningFields[field]);
   }
 
-  /** SIGKILL: the process gets no chance to end in order. */
+  /**
+   * Kills the process with SIGKILL, without a graceful shutdown, and waits until it has
+   * exited.
+   */
   async kill(): Promise<void> {
     this.killNow();
     await this.exited;
   }
 
-  /** As `kill`, without waiting; for the runner's own end. */
+  /** As `kill`, without waiting; for the exit handler of the runner. */
   killNow(): void {
     this.child.kill('SIGKILL');
   }
 
-  /** SIGSTOP: the process stands still, its connections stay open. */
+  /** Suspends the process with SIGSTOP; its connections stay open. */
   pause(): void {
     this.child.kill('SIGSTOP');
   }
 
-  /** SIGCONT: it goes on, unaware of the pause. */
+  /** Resumes the process with SIGCONT. */
   resume(): void {
     this.child.kill('SIGCONT');
   }
 
   /**
-   * SIGTERM, and SIGKILL where that is not heeded in time.
+   * Stops the process with SIGTERM, and with SIGKILL if it hasn't exited in time. A
+   * suspended process is resumed first.
    *
-   * @returns True where it stopped by itself.
+   * @returns True if it exited without SIGKILL.
    */
-  async stop(limitMilliseconds = STOP_LIMIT_MILLISECONDS): Promise<boolean> {
+  async stop(limitMilliseconds = STOP_TIMEOUT_MILLISECONDS): Promise<boolean> {
     this.child.kill('SIGCONT');
     this.child.kill('SIGTERM');
     const inTime = await Promise.race([
@@ -145,7 +152,7 @@
           continue;
         }
         createInterface({input: stream}).on('line', line => {
-          this.keepLine(line);
+          this.recordLine(line);
           const fields = parseListening(line);
           if (fields !== undefined) {
             this.listeningFields = fields;
@@ -156,11 +163,11 @@
     });
   }
 
-  private keepLine(line: string): void {
-    if (!this.ended) {
+  private recordLine(line: string): void {
+    if (!this.hasExited) {
       this.output.write(`${line}\n`);
     }
-    this.lines.push(line);
-    this.lines.splice(0, this.lines.length - LINES_KEPT);
+    this.recentLines.push(line);
+    this.recentLines.splice(0, this.recentLines.length - RETAINED_LINES);
   }
 }
--- a/packages/measurements/src/measure-case.ts
+++ b/packages/measurements/src/measure-case.ts
@@ -1,4 +1,4 @@
-/** A JSON value of a result. */
+/** A JSON value in a case's result. */
 export type ResultValue =
   | string
   | number
@@ -7,29 +7,29 @@
   | readonly ResultValue[]
   | {readonly [key: string]: ResultValue};
 
-/** What a case found. */
+/** The result of a case. */
 export interface CaseResult {
-  /** Printed as one JSON line. */
+  /** The fields of the JSON result line. */
   readonly fields: Readonly<Record<string, ResultValue>>;
-  /** False where a promise was broken. */
+  /** False if an invariant was violated or a goal missed. */
   readonly passed: boolean;
 }
 
 /**
- * One named failure or load case. It ends by itself, uses loopback only, and
- * leaves nothing running.
+ * A named failure or load case. It terminates without user input, uses only the
+ * loopback interface, and leaves no process running.
  */
 export abstract class MeasureCase {
-  /** As given on the command line. */
+  /** The name that selects the case on the command line. */
   abstract readonly name: string;
 
-  /** One line for `--list`: what happens, and what is scaled. */
+  /** One line for `--list`: the load and faults, and which times are scaled. */
   abstract readonly description: string;
 
   /**
    * Runs the case.
    *
-   * @param seed Seeds every choice of the case.
+   * @param seed Seed of all random choices in the case.
    */
   abstract run(seed: number): Promise<CaseResult>;
 }
--- a/packages/measurements/src/outcome-report.ts
+++ b/packages/measurements/src/outcome-report.ts
@@ -13,7 +13,7 @@
 } from './refusal-audit.js';
 import type {RequestRecord} from './request-record.js';
 
-/** What every run reports; a run's last line is this as JSON. */
+/** The report of a run; printed as the JSON result line. */
 export interface OutcomeReport {
   readonly requests: number;
   readonly answered: number;
@@ -24,37 +24,40 @@
   readonly budget: number;
   readonly spent: number;
   readonly overspentTokens: number;
-  /** Refused for want of budget although enough of it was left. */
+  /** Requests refused for lack of budget although enough budget remained. */
   readonly falseRefusals: number;
   readonly p50Milliseconds: number;
   readonly p99Milliseconds: number;
   readonly p99FirstTokenMilliseconds: number;
-  /** Exchanges beyond the first of a request. */
+  /** Exchanges after the first one of each request. */
   readonly retries: number;
-  /** Callers that never got a word. */
+  /** Requests without an answer whose last exchange ended with a broken connection. */
   readonly lost: number;
   readonly wrongAnswers: number;
   readonly billedTwice: number;
   readonly answeredNotBilled: number;
   readonly wrongAmounts: number;
   readonly unconfirmedBills: number;
-  /** Told "not run" in the end, and yet an endpoint ran it or a bill stands. */
+  /**
+   * Requests reported as not run in every exchange although an endpoint ran them or a
+   * bill exists.
+   */
   readonly notRunThatRan: number;
   /** Non-idempotent requests that ran more than once. */
   readonly ranTwice: number;
-  /** In grants, neither billed nor returned, when the run ended. */
+  /** Tokens in grants, neither billed nor returned, at the end of the run. */
   readonly grantedTokens: number;
-  /** Of these, in grants of hosts that stopped in good order. */
+  /** The part of `grantedTokens` in grants of hosts that shut down gracefully. */
   readonly grantedTokensOfStoppedHosts: number;
-  /** Last results by name of their problem. */
+  /** Number of requests by the problem name of their final result. */
   readonly problems: Readonly<Record<string, number>>;
-  /** What of the above breaks a promise; empty where all hold. */
+  /** Names of the counts that violate an invariant; empty if none does. */
   readonly brokenPromises: readonly string[];
 }
 
-const LINES_SHOWN = 5;
-const MEDIAN = 50;
-const NINETY_NINTH = 99;
+const MAXIMUM_EVIDENCE_LINES = 5;
+const P50_PERCENTILE = 50;
+const P99_PERCENTILE = 99;
 
 function sum(numbers: readonly number[]): number {
   return numbers.reduce((total, number) => total + number, 0);
@@ -78,7 +81,7 @@
   return problems;
 }
 
-function leftTokens(audit: OrganisationAudit | undefined): number {
+function remainingTokens(audit: OrganisationAudit | undefined): number {
   return (audit?.creditedTokens ?? 0) - (audit?.billedTokens ?? 0);
 }
 
@@ -86,7 +89,7 @@
   what: string,
   records: readonly RequestRecord[],
 ): string[] {
-  return records.slice(0, LINES_SHOWN).map(record => {
+  return records.slice(0, MAXIMUM_EVIDENCE_LINES).map(record => {
     const {requestId, request, mismatch, results} = record;
     const kinds = results.map(({kind, problem}) => `${kind} ${problem}`.trim());
     const {organisation} = request.from;
@@ -94,8 +97,11 @@
   });
 }
 
-/** Judges a run by its callers' records, the log and the endpoints. */
-export class OutcomeJudge {
+/**
+ * Evaluates a run by comparing the callers' records with the ledger and the endpoints'
+ * executions.
+ */
+export class OutcomeEvaluator {
   private readonly falseRefusals: readonly FalseRefusal[];
 
   constructor(
@@ -108,14 +114,14 @@
     this.falseRefusals = findFalseRefusals(records, ledger, topUps);
   }
 
-  /** Answered requests that have no bill on the log yet. */
+  /** Answered requests that have no bill in the log yet. */
   get unbilled(): readonly RequestRecord[] {
-    return this.of(ResultKind.Answered).filter(
+    return this.recordsEndingIn(ResultKind.Answered).filter(
       record => !this.ledger.bills.has(record.requestId),
     );
   }
 
-  /** Evidence on what went wrong, a few lines of each kind, for people. */
+  /** Diagnostic lines about violations and open grants, at most five of each kind. */
   get evidence(): readonly string[] {
     return [
       ...describeRecords(
@@ -123,60 +129,60 @@
         this.records.filter(record => record.mismatch !== ''),
       ),
       ...describeRecords('not billed', this.unbilled),
-      ...describeRecords('told "not run"', this.notRunThatRan),
+      ...describeRecords('reported as not run', this.notRunThatRan),
       ...this.falseRefusals
-        .slice(0, LINES_SHOWN)
+        .slice(0, MAXIMUM_EVIDENCE_LINES)
         .map(
-          ({record, leftTokens}) =>
-            `${record.request.from.organisation}: refused a bound of ${record.boundTokens} with ${leftTokens} left`,
+          ({record, remainingTokens}) =>
+            `${record.request.from.organisation}: refused a request bounded by ${record.boundTokens} tokens with ${remainingTokens} remaining`,
         ),
       ...this.ledger.openGrants
-        .slice(0, LINES_SHOWN)
+        .slice(0, MAXIMUM_EVIDENCE_LINES)
         .map(
           grant =>
-            `grant ${grant.grantId} holds ${grant.tokens - grant.billedTokens}: holder ${grant.holder}, witness ${grant.witness}, inherited ${grant.inherited.map(({requestId}) => requestId).join(' ')}${grant.closed ? ', closed' : ''}`,
+            `grant ${grant.grantId} has ${grant.tokens - grant.billedTokens} unbilled tokens: holder ${grant.holder}, witness ${grant.witness}, inherited ${grant.inherited.map(({requestId}) => requestId).join(' ')}${grant.closed ? ', closed' : ''}`,
         ),
     ];
   }
 
-  /** The whole report. */
+  /** Returns the complete report. */
   report(): OutcomeReport {
     const counts = this.counts();
     return {...counts, brokenPromises: brokenPromises(counts)};
   }
 
   private counts(): Omit<OutcomeReport, 'brokenPromises'> {
-    const answered = this.of(ResultKind.Answered);
+    const answered = this.recordsEndingIn(ResultKind.Answered);
     const {organisations} = this.ledger;
     const finals = answered.flatMap(record => record.final ?? []);
     const bills = [...this.ledger.bills.values()];
     return {
       requests: this.records.length,
       answered: answered.length,
-      refusedNotRun: this.of(ResultKind.NotRun).length,
-      failed: this.of(ResultKind.Failed).length,
-      outcomeUnknown: this.of(ResultKind.Unknown).length,
+      refusedNotRun: this.recordsEndingIn(ResultKind.NotRun).length,
+      failed: this.recordsEndingIn(ResultKind.Failed).length,
+      outcomeUnknown: this.recordsEndingIn(ResultKind.Unknown).length,
       billed: bills.length,
       budget: sum(organisations.map(each => each.creditedTokens)),
       spent: sum(organisations.map(each => each.billedTokens)),
       overspentTokens: sum(
-        organisations.map(each => Math.max(0, -leftTokens(each))),
+        organisations.map(each => Math.max(0, -remainingTokens(each))),
       ),
       falseRefusals: this.falseRefusals.length,
       p50Milliseconds: percentile(
         finals.map(result => result.milliseconds),
-        MEDIAN,
+        P50_PERCENTILE,
       ),
       p99Milliseconds: percentile(
         finals.map(result => result.milliseconds),
-        NINETY_NINTH,
+        P99_PERCENTILE,
       ),
       p99FirstTokenMilliseconds: percentile(
         finals.map(result => result.firstMilliseconds),
-        NINETY_NINTH,
+        P99_PERCENTILE,
       ),
       retries: sum(this.records.map(record => record.results.length - 1)),
-      lost: this.of(ResultKind.Lost).length,
+      lost: this.recordsEndingIn(ResultKind.Lost).length,
       wrongAnswers: this.records.filter(record => record.mismatch !== '')
         .length,
       billedTwice: this.ledger.billedTwice,
@@ -186,7 +192,7 @@
       notRunThatRan: this.notRunThatRan.length,
       ranTwice: this.ranTwice(),
       grantedTokens: sum(organisations.map(each => each.grantedTokens)),
-      grantedTokensOfStoppedHosts: tokensHeldBy(
+      grantedTokensOfStoppedHosts: unbilledTokensOfHosts(
         this.ledger.openGrants,
         this.stoppedHosts,
       ),
@@ -194,13 +200,13 @@
     };
   }
 
-  private of(kind: ResultKind): RequestRecord[] {
+  private recordsEndingIn(kind: ResultKind): RequestRecord[] {
     return this.records.filter(record => record.final?.kind === kind);
   }
 
-  /** Confirmed bills that differ from what the answer says was used. */
+  /** Counts confirmed bills whose tokens differ from the usage stated in the answer. */
   private wrongAmounts(): number {
-    return this.of(ResultKind.Answered).filter(record => {
+    return this.recordsEndingIn(ResultKind.Answered).filter(record => {
       const bill = this.ledger.bills.get(record.requestId);
       return bill?.confirmed === true && bill.tokens !== record.final?.tokens;
     }).length;
@@ -211,7 +217,7 @@
       record =>
         record.requestId !== '' &&
         record.results.every(({kind}) => kind === ResultKind.NotRun) &&
-        (this.executions.runs(record.requestId) > 0 ||
+        (this.executions.countExecutions(record.requestId) > 0 ||
           this.ledger.bills.has(record.requestId)),
     );
   }
@@ -220,32 +226,32 @@
     return this.records.filter(
       ({request, requestId}) =>
         request.kind === RequestKind.NonIdempotentCall &&
-        this.executions.runs(requestId) > 1,
+        this.executions.countExecutions(requestId) > 1,
     ).length;
   }
 }
 
 /**
- * Tokens in grants whose holders run on some hosts.
+ * Returns the unbilled tokens in grants whose holders ran on the given hosts.
  *
- * @param hosts Names of hosts; a holder's incarnation begins with its host's.
+ * @param hosts Host names; a holder's incarnation starts with its host's name.
  * @example
  * ```ts
- * const left = tokensHeldBy(audit.openGrants, ['kigali-1-host-0']);
+ * const remaining = unbilledTokensOfHosts(audit.openGrants, ['kigali-1-host-0']);
  * ```
  */
-export function tokensHeldBy(
+export function unbilledTokensOfHosts(
   grants: readonly GrantState[],
   hosts: readonly string[],
 ): number {
-  const held = grants.filter(({holder}) =>
+  const matching = grants.filter(({holder}) =>
     hosts.some(host => holder.startsWith(`${host}/`)),
   );
-  return sum(held.map(({tokens, billedTokens}) => tokens - billedTokens));
+  return sum(matching.map(({tokens, billedTokens}) => tokens - billedTokens));
 }
 
-/** The counts that must be 0, whatever fails. */
-const ZERO_COUNTS = [
+/** Counts that must be 0 whichever faults are injected. */
+const REQUIRED_ZERO_COUNTS = [
   'overspentTokens',
   'wrongAnswers',
   'billedTwice',
@@ -258,12 +264,14 @@
 function brokenPromises(
   counts: Omit<OutcomeReport, 'brokenPromises'>,
 ): readonly string[] {
-  return ZERO_COUNTS.filter(name => counts[name] !== 0);
+  return REQUIRED_ZERO_COUNTS.filter(name => counts[name] !== 0);
 }
 
 /**
- * A report as a case's result, with the case's own fields and the promises of its
- * own that were broken.
+ * Converts a report to a case's result.
+ *
+ * @param own Result fields that only this case reports.
+ * @param ownBroken Names of the case's own invariants that were violated.
  */
 export function toCaseResult(
   report: OutcomeReport,
--- a/packages/measurements/src/process-starter.ts
+++ b/packages/measurements/src/process-starter.ts
@@ -5,8 +5,8 @@
 
 import {ManagedProcess} from './managed-process.js';
 
-/** Entry files of the processes that the runner starts. */
-export enum Binary {
+/** Entry scripts of the processes that the runner starts. */
+export enum EntryScript {
   Router = 'router/lib/main.js',
   Keeper = 'keeper/lib/main.js',
   Platform = 'stand-ins/lib/platform-main.js',
@@ -14,20 +14,20 @@
   PlainService = 'stand-ins/lib/plain-service-main.js',
 }
 
-/** Settings as they are written into a file. */
+/** Settings of a process, written to a file as JSON. */
 export type SettingsJson = Readonly<Record<string, unknown>>;
 
 function exitWithFailure(): void {
   process.exit(1);
 }
 
-/** Starts processes with settings files in a directory of their own. */
+/** Starts processes whose settings and output files are in a temporary directory. */
 export class ProcessStarter {
-  /** Holds the settings and all that the processes print. */
+  /** Directory of the settings and output files. */
   readonly directory = mkdtempSync(join(tmpdir(), 'wisteriadeal-'));
   private readonly started: ManagedProcess[] = [];
   private count = 0;
-  /** Whatever becomes of the runner, its processes end with it. */
+  /** Exit handler: kills the processes however the runner exits, except by SIGKILL. */
   private readonly killAll = () => {
     for (const child of this.started) {
       child.killNow();
@@ -41,9 +41,13 @@
     }
   }
 
-  /** Starts a process and waits until it listens. */
+  /**
+   * Starts a process and waits until it listens.
+   *
+   * @throws Error if it doesn't start to listen in time.
+   */
   async start(
-    binary: Binary,
+    script: EntryScript,
     name: string,
     settings: SettingsJson,
   ): Promise<ManagedProcess> {
@@ -52,7 +56,7 @@
     writeFileSync(settingsPath, JSON.stringify(settings, undefined, 2));
     const child = await ManagedProcess.start({
       name,
-      script: fileURLToPath(new URL(`../../${binary}`, import.meta.url)),
+      script: fileURLToPath(new URL(`../../${script}`, import.meta.url)),
       settingsPath,
       outputPath: `${base}.log`,
     });
@@ -60,12 +64,16 @@
     return child;
   }
 
-  /** Every process started, running or not. */
+  /** All processes started so far, including those that have exited. */
   get processes(): readonly ManagedProcess[] {
     return this.started;
   }
 
-  /** Kills what still runs. */
+  /**
+   * Kills the processes that are still running.
+   *
+   * @param keepOutput Keeps the directory of settings and output files.
+   */
   async close(keepOutput: boolean): Promise<void> {
     const running = this.started.filter(child => child.running);
     await Promise.all(running.map(child => child.kill()));
--- a/packages/measurements/src/processor-meter.ts
+++ b/packages/measurements/src/processor-meter.ts
@@ -1,11 +1,12 @@
 const MICROSECONDS_PER_SECOND = 1_000_000;
 
 /**
- * Processor time of a piece of work in this process, divided by its repetitions.
+ * Measures the mean processor time of a function in this process.
  *
- * @param repetitions How often `work` is called; the first tenth warms up.
- * @param work Gets the index of the repetition.
- * @returns Microseconds of processor time for each repetition.
+ * @param repetitions Number of measured calls; a tenth as many calls precede them as
+ *     warm-up.
+ * @param work Function to measure; it receives the index of the call.
+ * @returns Microseconds of processor time per call.
  * @example
  * ```ts
  * const microseconds = processorMicroseconds(10_000, index => fold(index));
@@ -15,26 +16,30 @@
   repetitions: number,
   work: (index: number) => void,
 ): number {
-  const warm = Math.ceil(repetitions / WARM_SHARE);
-  for (let index = 0; index < warm; index++) {
+  const warmUpRepetitions = Math.ceil(repetitions / WARM_UP_DIVISOR);
+  for (let index = 0; index < warmUpRepetitions; index++) {
     work(index);
   }
   const before = process.cpuUsage();
-  for (let index = warm; index < warm + repetitions; index++) {
+  for (
+    let index = warmUpRepetitions;
+    index < warmUpRepetitions + repetitions;
+    index++
+  ) {
     work(index);
   }
   const {user, system} = process.cpuUsage(before);
   return round((user + system) / repetitions);
 }
 
-const WARM_SHARE = 10;
-const DECIMALS = 100;
+const WARM_UP_DIVISOR = 10;
+const ROUNDING_FACTOR = 100;
 
 function round(value: number): number {
-  return Math.round(value * DECIMALS) / DECIMALS;
+  return Math.round(value * ROUNDING_FACTOR) / ROUNDING_FACTOR;
 }
 
-/** Share of a core that a rate of work takes. */
+/** Returns the share of a core that work of a given cost and rate per second takes. */
 export function coreShare(microseconds: number, perSecond: number): number {
   return (microseconds * perSecond) / MICROSECONDS_PER_SECOND;
 }
--- a/packages/measurements/src/processor-time.ts
+++ b/packages/measurements/src/processor-time.ts
@@ -1,26 +1,28 @@
 import {readFileSync} from 'node:fs';
 
-/** Linux counts a process's time in ticks of this many milliseconds. */
+/** Linux reports a process's processor time in ticks of 10 ms. */
 const MILLISECONDS_PER_TICK = 10;
-/** Position of utime and stime behind the command's closing bracket. */
+/**
+ * Positions of utime and stime among the fields after the command's closing bracket.
+ */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** What a process has used so far. */
+/** Resources that a process has used since its start. */
 export interface ProcessUsage {
   readonly processorMilliseconds: number;
   readonly residentMegabytes: number;
-  /** Bytes read and written, sockets and log lines included. */
+  /** Bytes read and written, including sockets and log lines. */
   readonly bytes: number;
 }
 
 const KILOBYTES_PER_MEGABYTE = 1_024;
 
 /**
- * Reads what a process has used, from the kernel's own account.
+ * Reads a process's resource usage from `/proc`.
  *
- * @param pid A process that the runner started.
- * @throws The system's error where the process is gone.
+ * @param pid Identifier of a process that the runner started.
+ * @throws The file system's error if the process has exited.
  * @example
  * ```ts
  * const before = readProcessUsage(host.keeper.pid);
--- a/packages/measurements/src/publish.ts
+++ b/packages/measurements/src/publish.ts
@@ -9,13 +9,14 @@
 
 import type {Fleet} from './fleet.js';
 
-/** Name under which the runner publishes. */
+/** Operator name in the runner's publications. */
 const OPERATOR = 'runner';
 
 /**
- * Publishes a configuration over a version, as an operator does.
+ * Publishes a configuration as an operator does.
  *
- * @returns What the fold decided.
+ * @param baseVersion The version that the configuration replaces.
+ * @returns The decision of the configuration fold.
  */
 export function tryPublish(
   fleet: Fleet,
@@ -34,7 +35,7 @@
 /**
  * Publishes a configuration that must be accepted.
  *
- * @throws Error where the fold did not accept it.
+ * @throws Error if the configuration fold doesn't accept it.
  */
 export async function publish(
   fleet: Fleet,
@@ -43,6 +44,8 @@
 ): Promise<void> {
   const result = await tryPublish(fleet, configuration, baseVersion);
   if (result.outcome !== PublicationOutcome.Accepted) {
-    throw new Error(`the configuration is ${result.outcome}: ${result.reason}`);
+    throw new Error(
+      `publication of the configuration is ${result.outcome}: ${result.reason}`,
+    );
   }
 }
--- a/packages/measurements/src/refusal-audit.ts
+++ b/packages/measurements/src/refusal-audit.ts
@@ -7,16 +7,17 @@
 /** A request that was refused although budget remained. */
 export interface FalseRefusal {
   readonly record: RequestRecord;
-  /** What was neither used nor in progress when it was refused. */
-  readonly leftTokens: number;
+  /** Tokens of the budget that were neither used nor reserved when it was refused. */
+  readonly remainingTokens: number;
 }
 
 /**
- * Tokens that an organisation's other requests had used when a request was
- * refused. What was in progress at any time of the refused exchange counts with
- * its whole bound, as it must be reserved: so the refusals found are certain.
+ * Returns the tokens that an organisation's other requests had used or reserved when a
+ * request was refused. A request that was in progress at any time during the refused
+ * exchange counts with its full bound, because that bound must be reserved; this rules
+ * out false positives.
  */
-function usedAt(
+function usedTokensDuring(
   refused: RequestRecord,
   others: readonly RequestRecord[],
   ledger: LedgerAudit,
@@ -37,12 +38,15 @@
 export interface RunTopUp {
   readonly organisation: string;
   readonly tokens: number;
-  /** When it stood on the log, on the runner's monotonic clock. */
+  /**
+   * When it had been appended to the log, in milliseconds on the runner's monotonic
+   * clock.
+   */
   readonly atMilliseconds: number;
 }
 
-/** Tokens credited after a request was refused. */
-function creditedLater(
+/** Returns the tokens credited after the refused exchange of a request started. */
+function tokensCreditedAfter(
   refused: RequestRecord,
   topUps: readonly RunTopUp[],
 ): number {
@@ -57,9 +61,8 @@
 }
 
 /**
- * Finds requests that were refused for want of budget although enough of it was
- * left, wherever in the fleet it stood, also where the refusing host could not
- * reach it.
+ * Finds requests that were refused for lack of budget although enough tokens remained
+ * anywhere in the fleet, including on hosts that the refusing host couldn't reach.
  */
 export function findFalseRefusals(
   records: readonly RequestRecord[],
@@ -77,11 +80,13 @@
       )
       .map(record => ({
         record,
-        leftTokens:
+        remainingTokens:
           creditedTokens -
-          creditedLater(record, topUps) -
-          usedAt(record, own, ledger),
+          tokensCreditedAfter(record, topUps) -
+          usedTokensDuring(record, own, ledger),
       }))
-      .filter(({record, leftTokens}) => leftTokens >= record.boundTokens);
+      .filter(
+        ({record, remainingTokens}) => remainingTokens >= record.boundTokens,
+      );
   });
 }
--- a/packages/measurements/src/relay.ts
+++ b/packages/measurements/src/relay.ts
@@ -6,43 +6,48 @@
   type Socket,
 } from 'node:net';
 
-/** What a relay does with its connections. */
+/** How a relay treats its connections. */
 export enum RelayState {
-  /** Bytes pass. */
+  /** Forwards bytes. */
   Open = 'open',
-  /** Nothing passes, and nobody is told: as in a network partition. */
+  /** Forwards nothing and keeps connections open, as a network partition does. */
   Silent = 'silent',
-  /** Connections are reset, and new ones too. */
+  /** Resets existing and new connections. */
   Refusing = 'refusing',
 }
 
-interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
+interface ConnectionPair {
+  readonly client: Socket;
+  readonly upstream: Socket;
 }
 
 /**
- * One TCP port that passes bytes on to a target, so that the network between two
- * data centres can be cut without privileges.
+ * A TCP proxy to one target, which allows network partitions between data centres to
+ * be injected without privileges.
  */
 export class Relay {
   private state = RelayState.Open;
-  private readonly pairs = new Set<Pair>();
-  /** Connections that came while nothing passes; they are never answered. */
-  private readonly held = new Set<Socket>();
+  private readonly pairs = new Set<ConnectionPair>();
+  /** Connections accepted in the silent state; they never receive any data. */
+  private readonly unansweredSockets = new Set<Socket>();
 
   private constructor(
     private readonly server: Server,
     private readonly target: string,
-    /** `IP:port` to reach the target by. */
+    /** `IP:port` at which clients reach the target through this relay. */
     readonly address: string,
   ) {
-    server.on('connection', near => {
-      this.accept(near);
+    server.on('connection', client => {
+      this.accept(client);
     });
   }
 
-  /** @param target `IP:port`. */
+  /**
+   * Starts a relay on a free loopback port.
+   *
+   * @param target `IP:port` to which connections are forwarded.
+   * @throws The system's error if it can't listen.
+   */
   static async listen(target: string): Promise<Relay> {
     const server = createServer({allowHalfOpen: true});
     await new Promise<void>((resolve, reject) => {
@@ -54,31 +59,32 @@
   }
 
   /**
-   * Cuts or heals. After a silent cut old connections are reset: their bytes are
-   * lost, as those of a partition that outlasted TCP's patience.
+   * Sets the state. Connections that were silent are reset when the silent state ends:
+   * their bytes are lost, as in a partition that lasts longer than TCP's retransmission
+   * timeout.
    */
-  set(state: RelayState): void {
+  setState(state: RelayState): void {
     if (state === this.state) {
       return;
     }
     this.state = state;
-    for (const {near, far} of this.pairs) {
+    for (const {client, upstream} of this.pairs) {
       if (state === RelayState.Silent) {
-        near.pause();
-        far.pause();
+        client.pause();
+        upstream.pause();
       } else {
-        near.resetAndDestroy();
-        far.resetAndDestroy();
+        client.resetAndDestroy();
+        upstream.resetAndDestroy();
       }
     }
     if (state !== RelayState.Silent) {
-      this.resetHeld();
+      this.resetUnanswered();
     }
   }
 
   /** Stops listening and resets every connection. */
   async close(): Promise<void> {
-    this.set(RelayState.Refusing);
+    this.setState(RelayState.Refusing);
     await new Promise<void>(resolve => {
       this.server.close(() => {
         resolve();
@@ -86,52 +92,52 @@
     });
   }
 
-  private resetHeld(): void {
-    for (const socket of this.held) {
+  private resetUnanswered(): void {
+    for (const socket of this.unansweredSockets) {
       socket.resetAndDestroy();
     }
-    this.held.clear();
+    this.unansweredSockets.clear();
   }
 
-  private accept(near: Socket): void {
-    near.on('error', () => {
-      near.destroy();
+  private accept(client: Socket): void {
+    client.on('error', () => {
+      client.destroy();
     });
     switch (this.state) {
       case RelayState.Open:
-        this.pass(near);
+        this.forward(client);
         break;
       case RelayState.Silent:
-        near.pause();
-        this.held.add(near);
-        near.once('close', () => this.held.delete(near));
+        client.pause();
+        this.unansweredSockets.add(client);
+        client.once('close', () => this.unansweredSockets.delete(client));
         break;
       case RelayState.Refusing:
-        near.resetAndDestroy();
+        client.resetAndDestroy();
         break;
     }
   }
 
-  private pass(near: Socket): void {
+  private forward(client: Socket): void {
     const [host, port] = this.target.split(':');
-    const far = connect({
+    const upstream = connect({
       host: host ?? '',
       port: Number(port),
       allowHalfOpen: true,
       noDelay: true,
     });
-    near.setNoDelay(true);
-    const pair = {near, far};
+    client.setNoDelay(true);
+    const pair = {client, upstream};
     this.pairs.add(pair);
-    near.pipe(far);
-    far.pipe(near);
+    client.pipe(upstream);
+    upstream.pipe(client);
     const end = () => {
-      near.destroy();
-      far.destroy();
+      client.destroy();
+      upstream.destroy();
       this.pairs.delete(pair);
     };
-    far.on('error', end);
-    near.once('close', end);
-    far.once('close', end);
+    upstream.on('error', end);
+    client.once('close', end);
+    upstream.once('close', end);
   }
 }
--- a/packages/measurements/src/request-record.ts
+++ b/packages/measurements/src/request-record.ts
@@ -5,23 +5,23 @@
 } from './caller-request.js';
 import {ResultKind, type CallerResult} from './caller-result.js';
 
-/** One request with every result that its caller got for it, in order. */
+/** A request with the results of all of its exchanges, in order. */
 export class RequestRecord {
   private readonly list: CallerResult[] = [];
 
   constructor(readonly request: CallerRequest) {}
 
-  /** Notes what one exchange came to. */
+  /** Records the result of an exchange. */
   add(result: CallerResult): void {
     this.list.push(result);
   }
 
-  /** Every result. */
+  /** The results of all exchanges. */
   get results(): readonly CallerResult[] {
     return this.list;
   }
 
-  /** What the caller knows in the end: an answer, once given, stays one. */
+  /** The final result: the first answer, or the last result if there is no answer. */
   get final(): CallerResult | undefined {
     return (
       this.list.find(result => result.kind === ResultKind.Answered) ??
@@ -29,32 +29,34 @@
     );
   }
 
-  /** When its first exchange began, on the runner's monotonic clock. */
+  /** Start of the first exchange, in milliseconds on the runner's monotonic clock. */
   get startedAtMilliseconds(): number {
     return this.list[0]?.startedAtMilliseconds ?? 0;
   }
 
-  /** When its caller knew what it knows in the end. */
+  /** End of the exchange with the final result, on the same clock. */
   get endedAtMilliseconds(): number {
     const {final} = this;
     return (final?.startedAtMilliseconds ?? 0) + (final?.milliseconds ?? 0);
   }
 
-  /** The request identifier, as far as any answer told it. */
+  /** The request identifier from the first result that has one; empty if none does. */
   get requestId(): string {
     return this.list.find(result => result.requestId !== '')?.requestId ?? '';
   }
 
-  /** Why an answer is wrong; empty where every answer is right. */
+  /** Why an answer is wrong; empty if all answers are correct. */
   get mismatch(): string {
     const wrong = this.list.find(result => result.mismatch !== '');
     if (wrong !== undefined) {
       return wrong.mismatch;
     }
-    return this.answersDiffer() ? 'two answers to one key differ' : '';
+    return this.answersDiffer() ? 'answers to the same key differ' : '';
   }
 
-  /** The most that the request may use: what must be reserved for it. */
+  /**
+   * Upper bound of the tokens that the request can use, which must be reserved for it.
+   */
   get boundTokens(): number {
     const {request} = this;
     return isCompletion(request)
@@ -63,9 +65,9 @@
   }
 
   /**
-   * An idempotent call may run again at another host and answer anew; every
-   * other answer to one key must be the same. A caller told that its answer is
-   * no longer kept got no second answer.
+   * Returns true if several answers to the same key differ. Idempotent calls are exempt:
+   * they may run again at another host and produce a new answer. A result that reports
+   * that the answer is no longer stored doesn't count as an answer.
    */
   private answersDiffer(): boolean {
     const answers = this.list.filter(
--- a/packages/measurements/src/run-main.ts
+++ b/packages/measurements/src/run-main.ts
@@ -1,26 +1,34 @@
 import type {MeasureCase} from './measure-case.js';
 
-/** No case may take longer; one that does has failed. */
-const LIMIT_MILLISECONDS = 180_000;
+/** A case that takes longer than this fails. */
+const CASE_TIMEOUT_MILLISECONDS = 180_000;
 
 /**
- * Runs a case, prints its result as the last line of standard output, and sets
- * the exit code: 0 only where every promise held.
+ * Runs a case, prints its result as the last line of standard output, and sets the exit
+ * code: 0 only if the case passed.
  */
 export async function runMain(
   measureCase: MeasureCase,
   seed: number,
 ): Promise<void> {
   const timer = setTimeout(() => {
-    process.stderr.write(`${measureCase.name} took too long\n`);
+    process.stderr.write(
+      `${measureCase.name} did not finish within the time limit\n`,
+    );
     process.exit(1);
-  }, LIMIT_MILLISECONDS);
+  }, CASE_TIMEOUT_MILLISECONDS);
   const startedAt = performance.now();
   try {
     const {fields, passed} = await measureCase.run(seed);
     const seconds = Math.round(performance.now() - startedAt) / 1_000;
-    const line = {name: measureCase.name, seed, passed, ...fields, seconds};
-    process.stdout.write(`${JSON.stringify(line)}\n`);
+    const resultLine = {
+      name: measureCase.name,
+      seed,
+      passed,
+      ...fields,
+      seconds,
+    };
+    process.stdout.write(`${JSON.stringify(resultLine)}\n`);
     process.exitCode = passed ? 0 : 1;
   } catch (error) {
     process.stderr.write(`${measureCase.name}: ${String(error)}\n`);
--- a/packages/measurements/src/test/answer-checks_test.ts
+++ b/packages/measurements/src/test/answer-checks_test.ts
@@ -1,7 +1,11 @@
 import {expectedCompletion} from '@wisteriadeal/stand-ins';
 import {expect, test} from 'vitest';
 
-import {checkCall, messagesOf, StreamCheck} from '../answer-checks.js';
+import {
+  checkServiceAnswer,
+  messagesOf,
+  StreamChecker,
+} from '../answer-checks.js';
 import {
   RequestKind,
   type CompletionCall,
@@ -30,29 +34,32 @@
 }
 
 function mismatchOf(events: readonly {id: string; data: string}[]): string {
-  const check = new StreamCheck(CALL, 'req_1');
-  for (const each of events) {
-    check.take(each);
+  const check = new StreamChecker(CALL, 'req_1');
+  for (const item of events) {
+    check.addEvent(item);
   }
   return check.check().mismatch;
 }
 
-const RIGHT = tokens.map((text, index) => event(index, text));
+const COMPLETE_STREAM = tokens.map((text, index) => event(index, text));
 
-test('the whole stream of the caller itself is right', () => {
-  expect(mismatchOf([...RIGHT, usage(3)])).toBe('');
+test('a complete stream of the request passes the check', () => {
+  expect(mismatchOf([...COMPLETE_STREAM, usage(3)])).toBe('');
 });
 
 test.each([
-  ['a token is missing', [...RIGHT.slice(0, 2), usage(3)]],
-  ['a token comes twice', [...RIGHT, event(2, tokens[2] ?? ''), usage(3)]],
-  ['an event is of another request', [event(0, 'x', 'req_2'), usage(3)]],
-  ['the usage is wrong', [...RIGHT, usage(4)]],
-])('a stream is wrong where %s', (_what, events) => {
+  ['a token is missing', [...COMPLETE_STREAM.slice(0, 2), usage(3)]],
+  [
+    'a token is duplicated',
+    [...COMPLETE_STREAM, event(2, tokens[2] ?? ''), usage(3)],
+  ],
+  ['an event belongs to another request', [event(0, 'x', 'req_2'), usage(3)]],
+  ['the usage differs from the expected one', [...COMPLETE_STREAM, usage(4)]],
+])('a stream fails the check if %s', (_what, events) => {
   expect(mismatchOf(events)).not.toBe('');
 });
 
-test('a plain answer to another organisation is wrong', () => {
+test('a plain service answer to another organisation fails the check', () => {
   const call: ServiceCall = {
     kind: RequestKind.NonIdempotentCall,
     from: FROM,
@@ -63,6 +70,10 @@
     tokens: 5,
   };
   const reply = {requestId: 'req_1', organisation: 'south', call: call.call};
-  const checked = checkCall(call, 'req_1', Buffer.from(JSON.stringify(reply)));
+  const checked = checkServiceAnswer(
+    call,
+    'req_1',
+    Buffer.from(JSON.stringify(reply)),
+  );
   expect(checked.mismatch).toContain('organisation');
 });
--- a/packages/measurements/src/test/refusal-audit_test.ts
+++ b/packages/measurements/src/test/refusal-audit_test.ts
@@ -3,7 +3,7 @@
 import {expect, test} from 'vitest';
 
 import {RequestKind, type CallerRequest} from '../caller-request.js';
-import {NO_RESULT, ResultKind} from '../caller-result.js';
+import {LOST_RESULT, ResultKind} from '../caller-result.js';
 import type {LedgerAudit} from '../ledger-audit.js';
 import {findFalseRefusals} from '../refusal-audit.js';
 import {RequestRecord} from '../request-record.js';
@@ -28,10 +28,10 @@
   tokens: number,
   startedAtMilliseconds: number,
 ): RequestRecord {
-  const made = new RequestRecord(request(tokens));
+  const recorded = new RequestRecord(request(tokens));
   const problem = kind === ResultKind.NotRun ? 'budget-exhausted' : '';
-  made.add({
-    ...NO_RESULT,
+  recorded.add({
+    ...LOST_RESULT,
     kind,
     requestId,
     problem,
@@ -40,7 +40,7 @@
     milliseconds: 10,
     firstMilliseconds: 10,
   });
-  return made;
+  return recorded;
 }
 
 function ledger(credited: number, billed: Readonly<Record<string, number>>) {
@@ -66,14 +66,14 @@
   return audit;
 }
 
-test('a refusal with enough budget left is false', () => {
+test('a refusal is false if enough budget remained', () => {
   const used = record('one', ResultKind.Answered, 60, 0);
   const refused = record('two', ResultKind.NotRun, 40, 100);
   const found = findFalseRefusals([used, refused], ledger(100, {one: 60}), []);
   expect(found.map(({record: each}) => each)).toEqual([refused]);
 });
 
-test('what was in progress at the time counts with its bound', () => {
+test('a request in progress during the refusal counts with its token bound', () => {
   const running = record('one', ResultKind.Answered, 61, 105);
   const refused = record('two', ResultKind.NotRun, 40, 100);
   const found = findFalseRefusals(
@@ -84,7 +84,7 @@
   expect(found).toEqual([]);
 });
 
-test('a top-up made later does not make a refusal false', () => {
+test('a top-up after a refusal does not make it false', () => {
   const refused = record('two', ResultKind.NotRun, 40, 100);
   const topUp = {organisation: 'north', tokens: 100, atMilliseconds: 200};
   expect(findFalseRefusals([refused], ledger(100, {}), [topUp])).toEqual([]);
--- a/packages/measurements/src/test/relay_test.ts
+++ b/packages/measurements/src/test/relay_test.ts
@@ -30,7 +30,7 @@
   return relay;
 }
 
-function dial(relay: Relay): Socket {
+function connectTo(relay: Relay): Socket {
   const [host, port] = relay.address.split(':');
   const socket = connect({host: host ?? '', port: Number(port)});
   socket.on('error', () => {
@@ -42,7 +42,10 @@
   return socket;
 }
 
-/** `events.once` would reject on the reset that comes first. */
+/**
+ * Resolves when a socket is closed. `events.once` would reject on the error of the
+ * preceding reset.
+ */
 function closed(socket: Socket): Promise<void> {
   return new Promise(resolve => {
     socket.once('close', () => {
@@ -57,32 +60,32 @@
   return data.toString();
 }
 
-test('an open relay passes bytes both ways', async () => {
-  const socket = dial(await echoThroughRelay());
+test('an open relay forwards bytes in both directions', async () => {
+  const socket = connectTo(await echoThroughRelay());
   expect(await echo(socket, 'hello')).toBe('hello');
 });
 
-test('a silent cut swallows what is sent and is reset when it heals', async () => {
+test('a silent relay drops data and resets its connections when it opens', async () => {
   const relay = await echoThroughRelay();
-  const socket = dial(relay);
+  const socket = connectTo(relay);
   await echo(socket, 'before');
-  relay.set(RelayState.Silent);
-  const heard: string[] = [];
-  socket.on('data', data => heard.push(data.toString()));
+  relay.setState(RelayState.Silent);
+  const received: string[] = [];
+  socket.on('data', data => received.push(data.toString()));
   socket.write('lost');
-  const late = dial(relay);
+  const late = connectTo(relay);
   await once(late, 'connect');
   const ended = Promise.all([closed(socket), closed(late)]);
-  relay.set(RelayState.Open);
+  relay.setState(RelayState.Open);
   await ended;
-  expect(heard).toEqual([]);
-  expect(await echo(dial(relay), 'after')).toBe('after');
+  expect(received).toEqual([]);
+  expect(await echo(connectTo(relay), 'after')).toBe('after');
 });
 
 test('a refusing relay resets new connections', async () => {
   const relay = await echoThroughRelay();
-  relay.set(RelayState.Refusing);
-  const socket = dial(relay);
+  relay.setState(RelayState.Refusing);
+  const socket = connectTo(relay);
   await closed(socket);
   expect(socket.destroyed).toBe(true);
 });
--- a/packages/measurements/src/version-watch.ts
+++ b/packages/measurements/src/version-watch.ts
@@ -6,15 +6,17 @@
 import type {ManagedProcess} from './managed-process.js';
 import {pause, waitUntil} from './waiting.js';
 
-const LOOK_MILLISECONDS = 50;
-const DUMP_LIMIT_MILLISECONDS = 1_000;
-const DUMP_BYTES = 65_536;
+const POLL_INTERVAL_MILLISECONDS = 50;
+const DUMP_TIMEOUT_MILLISECONDS = 1_000;
+const MAXIMUM_DUMP_BYTES = 65_536;
 
 interface Dump {
   readonly configurationVersion: number;
 }
 
-async function versionOf(controlAddress: string): Promise<number | undefined> {
+async function readVersion(
+  controlAddress: string,
+): Promise<number | undefined> {
   const transport = createConnectTransport({
     baseUrl: `http://${controlAddress}`,
     httpVersion: '2',
@@ -22,8 +24,8 @@
   const client = createClient(InspectionService, transport);
   try {
     const {stateJson} = await client.dump(
-      {maximumBytes: DUMP_BYTES},
-      {timeoutMs: DUMP_LIMIT_MILLISECONDS},
+      {maximumBytes: MAXIMUM_DUMP_BYTES},
+      {timeoutMs: DUMP_TIMEOUT_MILLISECONDS},
     );
     return (JSON.parse(stateJson) as Dump).configurationVersion;
   } catch {
@@ -32,8 +34,8 @@
 }
 
 /**
- * Watches the configuration version of every router and keeper by their dumps,
- * and notices one that goes back.
+ * Polls the configuration version of all routers and keepers through their inspection
+ * service, and counts returns to an older version.
  */
 export class VersionWatch {
   private readonly latest = new Map<string, number>();
@@ -42,25 +44,25 @@
 
   constructor(private readonly fleet: Fleet) {}
 
-  /** Times that any process showed a lower version than before. */
+  /** Number of times that a process reported a lower version than before. */
   get reverts(): number {
     return this.reverted;
   }
 
-  /** Looks until it is closed. */
+  /** Polls every 50 ms until the watch is closed. */
   async run(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       const hosts = [...this.fleet.hosts];
       const processes = hosts.flatMap(({router, keeper}) => [router, keeper]);
-      await Promise.all(processes.map(child => this.look(child)));
-      await pause(LOOK_MILLISECONDS);
+      await Promise.all(processes.map(child => this.poll(child)));
+      await pause(POLL_INTERVAL_MILLISECONDS);
     }
   }
 
   /**
-   * Waits until every process of some hosts shows a version.
+   * Waits until all given processes report a version or a newer one.
    *
-   * @returns Seconds from the call; -1 where it did not come in time.
+   * @returns Seconds since the call, or -1 if the time limit was reached first.
    */
   async secondsUntil(
     version: number,
@@ -80,23 +82,23 @@
     return reached ? Math.round(performance.now() - startedAt) / 1_000 : -1;
   }
 
-  /** The version that a process showed last; 0 for none. */
+  /** Returns the version that a process reported last, or 0 if it has reported none. */
   versionOf(child: ManagedProcess): number {
     return this.latest.get(child.name) ?? 0;
   }
 
-  /** Ends the looking. */
+  /** Stops polling. */
   close(): void {
     this.stopping.abort();
   }
 
-  private async look(child: ManagedProcess): Promise<void> {
-    const version = await versionOf(child.address('controlAddress'));
+  private async poll(child: ManagedProcess): Promise<void> {
+    const version = await readVersion(child.address('controlAddress'));
     if (version === undefined) {
       return;
     }
-    const before = this.latest.get(child.name) ?? 0;
-    if (version < before) {
+    const previous = this.latest.get(child.name) ?? 0;
+    if (version < previous) {
       this.reverted++;
     }
     this.latest.set(child.name, version);
--- a/packages/measurements/src/waiting.ts
+++ b/packages/measurements/src/waiting.ts
@@ -1,25 +1,25 @@
-const LOOK_MILLISECONDS = 50;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Resolves after a delay. */
+/** Resolves after a delay in milliseconds. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
 /**
- * Looks again and again until something holds.
+ * Polls a condition every 50 ms until it is true.
  *
- * @returns False where it did not hold in time.
+ * @returns False if the time limit was reached first.
  */
 export async function waitUntil(
-  holds: () => Promise<boolean>,
+  condition: () => Promise<boolean>,
   limitMilliseconds: number,
 ): Promise<boolean> {
-  const limit = performance.now() + limitMilliseconds;
-  while (performance.now() < limit) {
-    if (await holds()) {
+  const deadline = performance.now() + limitMilliseconds;
+  while (performance.now() < deadline) {
+    if (await condition()) {
       return true;
     }
-    await pause(LOOK_MILLISECONDS);
+    await pause(POLL_INTERVAL_MILLISECONDS);
   }
   return false;
 }
--- a/packages/measurements/src/workload.ts
+++ b/packages/measurements/src/workload.ts
@@ -7,28 +7,28 @@
   type CallerRequest,
 } from './caller-request.js';
 
-/** The model that every engine of the runner serves. */
+/** The model that all engines of the runner serve. */
 export const MODEL = 'tutor-7b';
-/** Services of the runner's configuration. */
+/** Names of the services in the runner's configuration. */
 export const MODEL_SERVICE = 'tutor-models';
 export const PLAIN_SERVICE = 'registry-app';
-/** Price of one plain call. */
+/** Price of one call of a plain service, in tokens. */
 export const CALL_TOKENS = 5;
 
-/** Lengths of answers, in tokens. */
-const SHORTEST_ANSWER = 8;
-const LONGEST_ANSWER = 40;
-const MAXIMUM_ANSWER = 64;
+/** Range of the drawn answer lengths, and the `max_tokens` of all requests. */
+const MINIMUM_ANSWER_TOKENS = 8;
+const MAXIMUM_DRAWN_ANSWER_TOKENS = 40;
+const ANSWER_TOKEN_LIMIT = 64;
 
-/** An organisation of a workload. */
+/** An organisation in a workload. */
 export interface OrganisationPlan {
   readonly name: string;
   readonly budgetTokens: number;
   readonly preference: BudgetPreference;
   readonly from: CallerIdentity;
-  /** Kinds of its requests, drawn evenly. */
+  /** Kinds of its requests, drawn with equal probability. */
   readonly kinds: readonly RequestKind[];
-  /** Relative number of its requests. */
+  /** Weight of the organisation when requests are drawn. */
   readonly share: number;
 }
 
@@ -46,7 +46,7 @@
 
 const {AVOID_REFUSALS, AVOID_UNCLEAR_BILLS} = BudgetPreference;
 
-/** Five organisations, the last of which runs out of budget mid-way. */
+/** Five organisations, the last of which exhausts its budget during a run. */
 export const ORGANISATIONS: readonly OrganisationPlan[] = [
   organisation('kimironko-bar-school', 200_000, AVOID_REFUSALS, 4, [
     RequestKind.Stream,
@@ -71,13 +71,14 @@
   ]),
 ];
 
-/** Makes requests of organisations from a seed. */
+/** Generates the organisations' requests from a seeded random source. */
 export class Workload {
   private count = 0;
 
   /**
-   * @param keyedShare Share (0 to 1) of completions that carry a key; calls
-   *     always do.
+   * @param keyedShare Share (0 to 1) of completions that carry an idempotency key; calls
+   *     of plain services always do.
+   * @param name Prefix of the idempotency keys.
    */
   constructor(
     private readonly random: SeededRandomSource,
@@ -85,7 +86,7 @@
     private readonly name = 'demo',
   ) {}
 
-  /** So many requests, of all organisations by their shares. */
+  /** Returns `count` requests, of organisations drawn by their shares. */
   requests(
     count: number,
     organisations: readonly OrganisationPlan[] = ORGANISATIONS,
@@ -93,15 +94,15 @@
     return Array.from({length: count}, () => this.next(organisations));
   }
 
-  /** The next request, of an organisation drawn by its share. */
+  /** Returns a request of an organisation drawn by its share. */
   next(organisations: readonly OrganisationPlan[]): CallerRequest {
-    const drawn = organisations.flatMap(plan =>
+    const weighted = organisations.flatMap(plan =>
       Array.from({length: plan.share}, () => plan),
     );
-    return this.request(this.pick(drawn));
+    return this.request(this.pick(weighted));
   }
 
-  /** A request of an organisation. */
+  /** Returns a request of the given organisation. */
   request(plan: OrganisationPlan): CallerRequest {
     const kind = this.pick(plan.kinds);
     const number = this.count++;
@@ -124,10 +125,10 @@
     key: {readonly key?: string},
     number: number,
   ): CallerRequest {
-    const spread = LONGEST_ANSWER - SHORTEST_ANSWER + 1;
-    const length = SHORTEST_ANSWER + this.random.below(spread);
+    const spread = MAXIMUM_DRAWN_ANSWER_TOKENS - MINIMUM_ANSWER_TOKENS + 1;
+    const length = MINIMUM_ANSWER_TOKENS + this.random.below(spread);
     const prompt = `${name} asks question ${number} length=${length}`;
-    const maximumTokens = MAXIMUM_ANSWER;
+    const maximumTokens = ANSWER_TOKEN_LIMIT;
     return {kind, from, ...key, model: MODEL, prompt, maximumTokens};
   }
 
@@ -152,7 +153,7 @@
   private pick<Item>(items: readonly Item[]): Item {
     const item = items[this.random.below(items.length)];
     if (item === undefined) {
-      throw new Error('nothing to pick from');
+      throw new Error('cannot pick from an empty list');
     }
     return item;
   }
