--- a/packages/measurements/src/budget-replay.ts
+++ b/packages/measurements/src/budget-replay.ts
@@ -193,7 +193,7 @@
     for (const request of dueRequests) {
       const {host, organisation, bound} = request;
       request.isChargeDeferred = false;
-      if (!this.chargeDeferred(host, organisation, bound)) {
+      if (!this.tryChargeDeferred(host, organisation, bound)) {
         accountOf(host, organisation).dropPromise(bound);
         this.running = this.running.filter(each => each !== request);
         this.settleTotals(organisation, bound, 0);
@@ -202,7 +202,7 @@
     }
   }
 
-  private chargeDeferred(
+  private tryChargeDeferred(
     host: ReplayHost,
     organisation: string,
     bound: number,
--- a/packages/measurements/src/cases/configuration-in-force-case.ts
+++ b/packages/measurements/src/cases/configuration-in-force-case.ts
@@ -48,7 +48,7 @@
   override readonly description =
     'two operators publish concurrently while a data centre is partitioned and one of its hosts replaced; seconds until each version is in force in every process (limit 16 s)';
 
-  protected override readonly zeroFields = [
+  protected override readonly requiredZeroFields = [
     'reverts',
     'lateVersions',
     'wrongWinners',
--- a/packages/measurements/src/fleet-case.ts
+++ b/packages/measurements/src/fleet-case.ts
@@ -41,7 +41,7 @@
 /** A case that runs a fleet under load and injects faults into it. */
 export abstract class FleetCase extends MeasureCase {
   /** Names of the case's own fields that violate an invariant unless they are 0. */
-  protected readonly zeroFields: readonly string[] = [];
+  protected readonly requiredZeroFields: readonly string[] = [];
 
   /** Returns the options of the fleet and its callers. */
   protected abstract fleetOptions(seed: number): FleetRunOptions;
@@ -71,7 +71,9 @@
     let passed = false;
     try {
       const caseFields = await this.runScenario(run);
-      const violations = this.zeroFields.filter(name => caseFields[name] !== 0);
+      const violations = this.requiredZeroFields.filter(
+        name => caseFields[name] !== 0,
+      );
       const report = await run.finish();
       violations.push(...this.violationsAfterStop(report));
       const result = toCaseResult(report, caseFields, violations);
