--- a/packages/budgets/src/grant-account.ts
+++ b/packages/budgets/src/grant-account.ts
@@ -106,7 +106,7 @@
    *
    * @returns False if too few tokens are available; the promise then remains.
    */
-  keepPromise(bound: number): boolean {
+  reservePromised(bound: number): boolean {
     if (!this.moveToReserved(bound)) {
       return false;
     }
@@ -115,7 +115,7 @@
   }
 
   /** Ends a promised request of which nothing was delivered. */
-  dropPromise(bound: number): void {
+  cancelPromise(bound: number): void {
     this.promisedTokens -= bound;
   }
 
--- a/packages/budgets/src/grant-sizing.ts
+++ b/packages/budgets/src/grant-sizing.ts
@@ -4,14 +4,18 @@
 /** Tokens that a process requests or returns. */
 export interface GrantChange {
   /** Tokens to request; 0 for none. */
-  readonly wish: number;
+  readonly requestTokens: number;
   /** Minimum useful grant, in tokens. */
-  readonly least: number;
+  readonly minimumTokens: number;
   /** Tokens to return. */
-  readonly giveBack: number;
+  readonly returnTokens: number;
 }
 
-const NO_CHANGE: GrantChange = {wish: 0, least: 0, giveBack: 0};
+const NO_CHANGE: GrantChange = {
+  requestTokens: 0,
+  minimumTokens: 0,
+  returnTokens: 0,
+};
 
 /** Tokens that hosts hold in reserve for outages of the store. */
 export interface ReserveOptions {
@@ -29,7 +33,7 @@
    * @param prepaid The budget of the configuration in force, in tokens.
    * @param now Monotonic time, milliseconds.
    */
-  abstract change(
+  abstract planChange(
     account: GrantAccount,
     view: BudgetView | undefined,
     prepaid: number,
@@ -69,26 +73,26 @@
     super();
   }
 
-  override change(
+  override planChange(
     account: GrantAccount,
     view: BudgetView | undefined,
     prepaid: number,
     now: number,
   ): GrantChange {
     if (view !== undefined && isNearExhaustion(account, view)) {
-      return {...NO_CHANGE, giveBack: account.available};
+      return {...NO_CHANGE, returnTokens: account.available};
     }
     const target = this.target(account, view, prepaid, now);
     const surplus = Math.floor(account.available - SURPLUS_FACTOR * target);
     if (surplus > 0) {
-      return {...NO_CHANGE, giveBack: surplus};
+      return {...NO_CHANGE, returnTokens: surplus};
     }
     if (account.available >= REFILL_THRESHOLD_PART * target) {
       return NO_CHANGE;
     }
     const wish = Math.ceil(target - account.available);
     const least = Math.max(1, Math.ceil(wish * MINIMUM_REFILL_PART));
-    return {wish, least, giveBack: 0};
+    return {requestTokens: wish, minimumTokens: least, returnTokens: 0};
   }
 
   /**
--- a/packages/budgets/src/index.ts
+++ b/packages/budgets/src/index.ts
@@ -9,6 +9,6 @@
 export * from './grant-sizing.js';
 export * from './leaving-surplus.js';
 export * from './loans.js';
-export * from './refill-pacing.js';
+export * from './refill-backoff.js';
 export * from './reservation.js';
 export * from './unanswered-loans.js';
--- a/packages/budgets/src/leaving-surplus.ts
+++ b/packages/budgets/src/leaving-surplus.ts
@@ -12,7 +12,7 @@
  * @returns Tokens to return; undefined while enough tokens are unallocated.
  * @example
  * ```ts
- * const giveBack = leavingSurplus(account, fold.view('school'));
+ * const returnTokens = leavingSurplus(account, fold.view('school'));
  * ```
  */
 export function leavingSurplus(
--- a/packages/budgets/src/loans.ts
+++ b/packages/budgets/src/loans.ts
@@ -17,7 +17,7 @@
  * amounts on the log are some seconds old and do not include loans received, so a holder
  * that reports nothing is listed too: it may have borrowed tokens.
  */
-export function lendersOf(
+export function lendersByHeldTokens(
   fold: BudgetFold,
   organisation: string,
   borrower: string,
@@ -42,7 +42,7 @@
  * @param minimumTokens Tokens that the waiting request needs.
  * @param requestedTokens Tokens that the borrower would like.
  */
-export function loanFor(
+export function loanAmount(
   account: GrantAccount,
   minimumTokens: number,
   requestedTokens: number,
--- a/packages/budgets/src/refill-pacing.ts
+++ b/packages/budgets/src/refill-backoff.ts
@@ -14,7 +14,7 @@
  * }
  * ```
  */
-export class RefillPacing {
+export class RefillBackoff {
   private pauseMilliseconds = 0;
   private nextRequestAt = -Infinity;
 
--- a/packages/budgets/src/reservation.ts
+++ b/packages/budgets/src/reservation.ts
@@ -40,10 +40,10 @@
  * @param isLogResponsive Whether the log answers and can therefore grant the tokens.
  * @example
  * ```ts
- * chargePoint(account, fold.view('school'), 12_000, true); // ChargePoint.Delivery
+ * chooseChargePoint(account, fold.view('school'), 12_000, true); // ChargePoint.Delivery
  * ```
  */
-export function chargePoint(
+export function chooseChargePoint(
   account: GrantAccount,
   view: BudgetView | undefined,
   bound: number,
--- a/packages/budgets/src/test/fleet-model.ts
+++ b/packages/budgets/src/test/fleet-model.ts
@@ -3,7 +3,7 @@
 
 import {BudgetFold, type FoldedGrant} from '../budget-fold.js';
 import {GrantAccount} from '../grant-account.js';
-import {loanFor} from '../loans.js';
+import {loanAmount} from '../loans.js';
 import {UnansweredLoans} from '../unanswered-loans.js';
 
 const ORGANISATION = 'school';
@@ -137,7 +137,7 @@
   deliver(host: number): void {
     const {account, open, promised} = this.hostAt(host);
     const bound = promised.at(-1);
-    if (bound !== undefined && account.keepPromise(bound)) {
+    if (bound !== undefined && account.reservePromised(bound)) {
       promised.pop();
       open.push(bound);
     }
@@ -148,7 +148,7 @@
     const {account, promised} = this.hostAt(host);
     const bound = promised.pop();
     if (bound !== undefined) {
-      account.dropPromise(bound);
+      account.cancelPromise(bound);
     }
   }
 
@@ -184,7 +184,7 @@
       return;
     }
     const {account} = lender;
-    const amount = account.debit(loanFor(account, 1, wish));
+    const amount = account.debit(loanAmount(account, 1, wish));
     const loan = `loan-${this.loans++}`;
     this.add(lender, {
       case: 'lent',
--- a/packages/budgets/src/test/grant-sizing_test.ts
+++ b/packages/budgets/src/test/grant-sizing_test.ts
@@ -3,7 +3,7 @@
 import type {BudgetView} from '../budget-view.js';
 import {GrantAccount} from '../grant-account.js';
 import {DemandSizing} from '../grant-sizing.js';
-import {loanFor} from '../loans.js';
+import {loanAmount} from '../loans.js';
 
 const PREPAID = 240_000;
 const HOLDERS = 9;
@@ -41,86 +41,90 @@
     // Guards against refusals to a small organisation as soon as the store is
     // unavailable. Measured by one prompt of 39,000 tokens, a budget of 240,000 tokens
     // would seem near exhaustion for nine hosts, and each would return all its tokens.
-    const change = new DemandSizing(RESERVE).change(
+    const change = new DemandSizing(RESERVE).planChange(
       accountOf(8_000, MIXED_SIZES),
       view(200_000),
       PREPAID,
       1_000,
     );
-    expect(change.giveBack).toBe(0);
+    expect(change.returnTokens).toBe(0);
   });
 
   it('keeps one request of average size when callers have been idle', () => {
     // A caller that returns after a minute finds the tokens of one request. Tokens
     // beyond that would be lost if the host failed, and are returned for other hosts.
     const account = accountOf(8_000, MIXED_SIZES);
-    const {giveBack} = new DemandSizing(RESERVE).change(
+    const {returnTokens} = new DemandSizing(RESERVE).planChange(
       account,
       view(200_000),
       PREPAID,
       120_000,
     );
-    expect(8_000 - giveBack).toBeGreaterThanOrEqual(account.meanBound);
-    expect(giveBack).toBeGreaterThan(0);
+    expect(8_000 - returnTokens).toBeGreaterThanOrEqual(account.meanBound);
+    expect(returnTokens).toBeGreaterThan(0);
   });
 
   it('keeps little of a budget whose callers use other hosts', () => {
     // Guards against tokens lost with an idle host. If one of nine hosts fails early
     // while it holds its even share, a twentieth of each budget is lost with it.
-    const change = new DemandSizing(RESERVE).change(
+    const change = new DemandSizing(RESERVE).planChange(
       accountOf(10_000, []),
       view(PREPAID - 5_000),
       PREPAID,
       60_000,
     );
-    expect(10_000 - change.giveBack).toBeLessThan(0.01 * PREPAID);
+    expect(10_000 - change.returnTokens).toBeLessThan(0.01 * PREPAID);
   });
 
   it('keeps nothing when the remaining budget is below one request per host', () => {
-    const change = new DemandSizing(RESERVE).change(
+    const change = new DemandSizing(RESERVE).planChange(
       accountOf(1_500, MIXED_SIZES),
       view(9_000),
       PREPAID,
       60_000,
     );
-    expect(change).toEqual({wish: 0, least: 0, giveBack: 1_500});
+    expect(change).toEqual({
+      requestTokens: 0,
+      minimumTokens: 0,
+      returnTokens: 1_500,
+    });
   });
 
   it('requests a part of its even share before any usage', () => {
-    const change = new DemandSizing(RESERVE).change(
+    const change = new DemandSizing(RESERVE).planChange(
       new GrantAccount(),
       view(PREPAID),
       PREPAID,
       0,
     );
-    expect(change.wish).toBe(
+    expect(change.requestTokens).toBe(
       Math.floor(0.15 * Math.floor((0.4 * PREPAID) / HOLDERS)),
     );
   });
 
   it('returns tokens far beyond its share and usage', () => {
-    const change = new DemandSizing(RESERVE).change(
+    const change = new DemandSizing(RESERVE).planChange(
       accountOf(60_000, []),
       view(PREPAID),
       PREPAID,
       60_000,
     );
-    expect(change.giveBack).toBeGreaterThan(40_000);
+    expect(change.returnTokens).toBeGreaterThan(40_000);
   });
 });
 
-describe('loanFor', () => {
+describe('loanAmount', () => {
   it('lends half of the available tokens', () => {
-    expect(loanFor(accountOf(10_000, []), 1_000, 9_000)).toBe(5_000);
+    expect(loanAmount(accountOf(10_000, []), 1_000, 9_000)).toBe(5_000);
   });
 
   it('lends everything when it cannot cover the waiting request', () => {
     // Guards against a refusal while nine hosts together hold enough tokens, but each
     // one keeps less than one request needs. Together their tokens serve one request.
-    expect(loanFor(accountOf(900, []), 1_000, 3_000)).toBe(900);
+    expect(loanAmount(accountOf(900, []), 1_000, 3_000)).toBe(900);
   });
 
   it('lends nothing when nothing is requested', () => {
-    expect(loanFor(accountOf(900, []), 0, 0)).toBe(0);
+    expect(loanAmount(accountOf(900, []), 0, 0)).toBe(0);
   });
 });
--- a/packages/budgets/src/test/reservation_test.ts
+++ b/packages/budgets/src/test/reservation_test.ts
@@ -2,8 +2,8 @@
 
 import type {BudgetView} from '../budget-view.js';
 import {GrantAccount} from '../grant-account.js';
-import {loanFor} from '../loans.js';
-import {ChargePoint, chargePoint} from '../reservation.js';
+import {loanAmount} from '../loans.js';
+import {ChargePoint, chooseChargePoint} from '../reservation.js';
 
 const PREPAID = 3_000_000;
 const PROMPT = 12_000;
@@ -18,7 +18,7 @@
   };
 }
 
-describe('chargePoint', () => {
+describe('chooseChargePoint', () => {
   it('reserves nothing before an answer while the log has enough tokens', () => {
     // Guards against a budget that shrinks when all hosts lose power. After a network
     // partition all callers return at once, and 200 long prompts wait for their first
@@ -27,7 +27,9 @@
     const account = new GrantAccount();
     const left = view(2_900_000);
     let promises = 0;
-    while (chargePoint(account, left, PROMPT, true) === ChargePoint.Delivery) {
+    while (
+      chooseChargePoint(account, left, PROMPT, true) === ChargePoint.Delivery
+    ) {
       account.promise(PROMPT, 0);
       promises++;
     }
@@ -38,7 +40,9 @@
   it('promises at most the unallocated tokens less a margin for other hosts', () => {
     const account = new GrantAccount();
     const left = view(300_000);
-    while (chargePoint(account, left, PROMPT, true) === ChargePoint.Delivery) {
+    while (
+      chooseChargePoint(account, left, PROMPT, true) === ChargePoint.Delivery
+    ) {
       account.promise(PROMPT, 0);
     }
     expect(account.promised).toBeLessThanOrEqual(300_000 - 0.03 * PREPAID);
@@ -50,22 +54,22 @@
     // caller must be refused before the dispatch.
     const account = new GrantAccount();
     account.credit(1_000_000);
-    expect(chargePoint(account, view(2_000_000), PROMPT, false)).toBe(
+    expect(chooseChargePoint(account, view(2_000_000), PROMPT, false)).toBe(
       ChargePoint.Dispatch,
     );
-    expect(chargePoint(account, undefined, PROMPT, true)).toBe(
+    expect(chooseChargePoint(account, undefined, PROMPT, true)).toBe(
       ChargePoint.Dispatch,
     );
   });
 });
 
-describe('loanFor', () => {
+describe('loanAmount', () => {
   it('does not lend tokens promised to running requests', () => {
     // Guards against a ready answer that waits for tokens. The store becomes unreachable
     // while the request runs, and another host asks for all available tokens.
     const account = new GrantAccount();
     account.credit(20_000);
     account.promise(PROMPT, 0);
-    expect(loanFor(account, 15_000, 30_000)).toBe(8_000);
+    expect(loanAmount(account, 15_000, 30_000)).toBe(8_000);
   });
 });
--- a/packages/command-line/src/command-error.ts
+++ b/packages/command-line/src/command-error.ts
@@ -29,7 +29,7 @@
   }
   return error.fate === Fate.Unknown
     ? new CommandError(
-        ExitCode.Unknown,
+        ExitCode.OutcomeUnknown,
         `${error.message}; whether it was done is unknown`,
         retryHint,
       )
--- a/packages/decisions/src/answer-estimate.ts
+++ b/packages/decisions/src/answer-estimate.ts
@@ -8,9 +8,9 @@
 }
 
 /** Bounds on the time to wait for the start of an answer. */
-export interface SilenceBounds {
+export interface FirstEventTimeoutBounds {
   /** Lower bound of the timeout, in milliseconds. */
-  readonly shortestMilliseconds: number;
+  readonly minimumMilliseconds: number;
   /** The timeout is this factor times the expected time. */
   readonly expectedFactor: number;
 }
@@ -46,7 +46,7 @@
    *
    * @param milliseconds Time until the answer started.
    */
-  came(prompt: PromptSize, milliseconds: number): void {
+  recordStart(prompt: PromptSize, milliseconds: number): void {
     this.updateMean(milliseconds / effectiveTokens(prompt));
   }
 
@@ -55,7 +55,7 @@
    *
    * @param milliseconds Time waited.
    */
-  missed(prompt: PromptSize, milliseconds: number): void {
+  recordTimeout(prompt: PromptSize, milliseconds: number): void {
     this.updateMean(
       Math.max(
         this.meanMillisecondsPerToken,
@@ -70,13 +70,16 @@
    * @returns Milliseconds.
    * @example
    * ```ts
-   * estimate.limit({ownTokens: 300}, {shortestMilliseconds: 900, expectedFactor: 3});
+   * estimate.timeoutMilliseconds({ownTokens: 300}, {minimumMilliseconds: 900, expectedFactor: 3});
    * ```
    */
-  limit(prompt: PromptSize, bounds: SilenceBounds): number {
+  timeoutMilliseconds(
+    prompt: PromptSize,
+    bounds: FirstEventTimeoutBounds,
+  ): number {
     const expected = this.meanMillisecondsPerToken * effectiveTokens(prompt);
     return Math.max(
-      bounds.shortestMilliseconds,
+      bounds.minimumMilliseconds,
       bounds.expectedFactor * expected,
     );
   }
--- a/packages/decisions/src/arrival-admission.ts
+++ b/packages/decisions/src/arrival-admission.ts
@@ -4,7 +4,7 @@
    * When its first byte arrived, as far as the host can determine, in
    * milliseconds of the monotonic clock.
    */
-  readonly cameAt: number;
+  readonly receivedAt: number;
   /**
    * Target time from the first byte to the start of the answer, in
    * milliseconds.
@@ -25,7 +25,7 @@
    */
   readonly busyMilliseconds: number;
   /** Requests that were started and whose answers have not started yet. */
-  readonly unanswered: number;
+  readonly unansweredRequests: number;
 }
 
 /** A request that is refused without having been run. */
@@ -48,7 +48,7 @@
    *
    * @param now Monotonic clock, in milliseconds.
    */
-  abstract answered(load: LoopLoad, now: number): void;
+  abstract recordAnswerStart(load: LoopLoad, now: number): void;
 
   /**
    * Decides which requests to start and which to refuse.
@@ -65,7 +65,7 @@
 
 /** Baseline policy: starts all requests immediately, in order of arrival. */
 export class BeginAll extends ArrivalAdmission {
-  override answered(): void {
+  override recordAnswerStart(): void {
     // The baseline does not use the answer rate.
   }
 
@@ -122,7 +122,7 @@
   private sampleCount = 0;
   private lastAnswerAt = -Infinity;
 
-  override answered({busyMilliseconds}: LoopLoad, now: number): void {
+  override recordAnswerStart({busyMilliseconds}: LoopLoad, now: number): void {
     const interval = now - this.lastAnswerAt;
     this.lastAnswerAt = now;
     // The interval measures the host's own rate only while the loop was busy
@@ -142,11 +142,11 @@
     const begun: Request[] = [];
     const refused: RefusedArrival<Request>[] = [];
     for (const request of arrived) {
-      const requestsAhead = load.unanswered + begun.length;
+      const requestsAhead = load.unansweredRequests + begun.length;
       const expectedWaitMilliseconds =
         requestsAhead * this.meanAnswerIntervalMilliseconds;
       const isTooLate =
-        now + expectedWaitMilliseconds - request.cameAt >
+        now + expectedWaitMilliseconds - request.receivedAt >
         maximumUsefulWaitMilliseconds(request);
       if (requestsAhead > 0 && isTooLate && isLoopOverloaded(request, load)) {
         refused.push({
--- a/packages/decisions/src/data-center-trust.ts
+++ b/packages/decisions/src/data-center-circuit-breaker.ts
@@ -1,4 +1,4 @@
-import {EndpointTrust} from './endpoint-trust.js';
+import {EndpointCircuitBreaker} from './endpoint-circuit-breaker.js';
 
 /**
  * Number of endpoints of a data centre that have to be silent at the same time
@@ -9,7 +9,7 @@
 
 /** Circuit breaker state of one data centre. */
 class DataCenterState {
-  readonly breaker = new EndpointTrust();
+  readonly breaker = new EndpointCircuitBreaker();
   /**
    * Endpoints that became silent since any endpoint of the data centre last
    * responded.
@@ -26,7 +26,7 @@
  * Each attempt costs its caller the time of a connection that is never
  * established.
  */
-export class DataCenterTrust {
+export class DataCenterCircuitBreaker {
   private readonly states = new Map<string, DataCenterState>();
 
   /**
@@ -41,14 +41,14 @@
    *
    * @param now Monotonic clock, in milliseconds.
    */
-  fellSilent(dataCenter: string, endpoint: string, now: number): void {
+  recordSilence(dataCenter: string, endpoint: string, now: number): void {
     if (dataCenter === this.ownDataCenter) {
       return;
     }
     const {silentEndpoints, breaker} = this.stateOf(dataCenter);
     silentEndpoints.add(endpoint);
     if (silentEndpoints.size >= MINIMUM_SILENT_ENDPOINTS) {
-      breaker.fellSilent(now);
+      breaker.recordSilence(now);
     }
   }
 
@@ -56,31 +56,31 @@
    * Records a response of any endpoint, which shows that the data centre is
    * reachable.
    */
-  spoke(dataCenter: string): void {
+  recordResponse(dataCenter: string): void {
     const state = this.states.get(dataCenter);
     state?.silentEndpoints.clear();
-    state?.breaker.spoke();
+    state?.breaker.recordResponse();
   }
 
   /** Records that a request was sent to the data centre. */
-  sent(dataCenter: string): void {
-    this.states.get(dataCenter)?.breaker.sent();
+  requestSent(dataCenter: string): void {
+    this.states.get(dataCenter)?.breaker.requestSent();
   }
 
   /**
    * Records that a request to the data centre ended, whatever its outcome. A
    * trial request without a conclusive outcome must not block the next one.
    */
-  released(dataCenter: string): void {
-    this.states.get(dataCenter)?.breaker.released();
+  requestEnded(dataCenter: string): void {
+    this.states.get(dataCenter)?.breaker.requestEnded();
   }
 
   /**
    * Whether requests may be sent to the data centre: false while the breaker is
    * open, or while a trial request is in progress after that.
    */
-  isTrusted(dataCenter: string, now: number): boolean {
-    return this.states.get(dataCenter)?.breaker.isTrusted(now) ?? true;
+  isAvailable(dataCenter: string, now: number): boolean {
+    return this.states.get(dataCenter)?.breaker.isAvailable(now) ?? true;
   }
 
   private stateOf(dataCenter: string): DataCenterState {
--- a/packages/decisions/src/endpoint-trust.ts
+++ b/packages/decisions/src/endpoint-circuit-breaker.ts
@@ -24,7 +24,7 @@
  * Circuit breaker for one endpoint, driven by its answers. There are no health
  * checks.
  */
-export class EndpointTrust {
+export class EndpointCircuitBreaker {
   private openMilliseconds = 0;
   private openUntil = -Infinity;
   private meanFailedShare = 0;
@@ -40,18 +40,18 @@
    * Whether requests may be sent: false while the breaker is open, or while a
    * trial request is in progress after that.
    */
-  isTrusted(now: number): boolean {
-    return now >= this.openUntil && !(this.isOnTrial && this.trials > 0);
+  isAvailable(now: number): boolean {
+    return now >= this.openUntil && !(this.isTripped && this.trials > 0);
   }
 
   /** True from a failure until the next successful answer. */
-  get isOnTrial(): boolean {
+  get isTripped(): boolean {
     return this.openMilliseconds > 0;
   }
 
   /** Records that a request was sent. */
-  sent(): void {
-    if (this.isOnTrial) {
+  requestSent(): void {
+    if (this.isTripped) {
       this.trials++;
     }
   }
@@ -62,7 +62,7 @@
    * only broken connections counted, requests would be sent there until their
    * callers time out, and each of them would be lost.
    */
-  fellSilent(now: number): void {
+  recordSilence(now: number): void {
     if (now >= this.openUntil) {
       this.isSilent = true;
       this.trip(now);
@@ -72,7 +72,7 @@
   /**
    * Records a response of any kind: the endpoint was slow rather than silent.
    */
-  spoke(): void {
+  recordResponse(): void {
     if (this.isSilent) {
       this.isSilent = false;
       this.openMilliseconds = 0;
@@ -82,7 +82,7 @@
   }
 
   /** Records a complete, successful answer. */
-  succeeded(): void {
+  recordSuccess(): void {
     this.updateFailedShare(0);
     this.isSilent = false;
     this.openMilliseconds = 0;
@@ -90,13 +90,13 @@
   }
 
   /** Records an answer that says that the request failed. */
-  answeredFailure(): void {
+  recordFailedAnswer(): void {
     this.updateFailedShare(1);
     this.trials = Math.max(0, this.trials - 1);
   }
 
   /** Records a failed or broken connection, silence, or an invalid response. */
-  broke(now: number): void {
+  recordConnectionFailure(now: number): void {
     this.updateFailedShare(1);
     this.trials = 0;
     if (now >= this.openUntil) {
@@ -105,7 +105,7 @@
   }
 
   /** Records the end of a request that is not conclusive about the endpoint. */
-  released(): void {
+  requestEnded(): void {
     this.trials = Math.max(0, this.trials - 1);
   }
 
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -5,7 +5,7 @@
  */
 export * from './admission-policy.js';
 export * from './affinity-placement.js';
-export * from './data-center-trust.js';
+export * from './data-center-circuit-breaker.js';
 export * from './deadline-refusal.js';
 export * from './decision.js';
 export * from './endpoint-description.js';
@@ -36,7 +36,7 @@
 export * from './standing-delay.js';
 export * from './stop-admission.js';
 export * from './work.js';
-export * from './endpoint-trust.js';
+export * from './endpoint-circuit-breaker.js';
 export * from './answer-estimate.js';
 export * from './resend-budget.js';
 export * from './shared-prompt-placement.js';
--- a/packages/decisions/src/link-delay.ts
+++ b/packages/decisions/src/link-delay.ts
@@ -36,7 +36,7 @@
   /**
    * Records the delay of data that the peer sent immediately, in milliseconds.
    */
-  arrived(milliseconds: number): void {
+  recordArrival(milliseconds: number): void {
     this.updateMean(Math.min(MAXIMUM_DELAY_MILLISECONDS, milliseconds));
     this.backoff = 0;
   }
@@ -45,7 +45,7 @@
    * Records a timeout after the given time, in milliseconds. Several timeouts
    * at the same moment count as one.
    */
-  expired(milliseconds: number): void {
+  recordTimeout(milliseconds: number): void {
     const minimumDelay = Math.min(MAXIMUM_DELAY_MILLISECONDS, milliseconds);
     if (minimumDelay > this.mean) {
       this.updateMean(minimumDelay);
--- a/packages/decisions/src/link-load.ts
+++ b/packages/decisions/src/link-load.ts
@@ -85,10 +85,10 @@
    * @returns Bytes.
    * @example
    * ```ts
-   * const pageBytes = load.answerBytes(1_200);
+   * const pageBytes = load.maximumAnswerBytes(1_200);
    * ```
    */
-  answerBytes(milliseconds: number): number {
+  maximumAnswerBytes(milliseconds: number): number {
     const remaining = Math.max(
       0,
       this.capacityBytesPerSecond - this.callerBytesPerSecond,
--- a/packages/decisions/src/load-core-options.ts
+++ b/packages/decisions/src/load-core-options.ts
@@ -12,7 +12,7 @@
    * Round-trip time to another data centre in milliseconds; a default applies
    * if it is not set.
    */
-  readonly tripMilliseconds?: (dataCenter: string) => number;
+  readonly roundTripMilliseconds?: (dataCenter: string) => number;
   /** Defaults to `chosenPolicies`. */
   readonly policies?: LoadPolicies;
 }
--- a/packages/decisions/src/load-core.ts
+++ b/packages/decisions/src/load-core.ts
@@ -53,7 +53,7 @@
   constructor(private readonly options: LoadCoreOptions) {
     const policies = options.policies ?? chosenPolicies(options.fraction);
     const roundTripMilliseconds =
-      options.tripMilliseconds ?? (() => DEFAULT_ROUND_TRIP_MILLISECONDS);
+      options.roundTripMilliseconds ?? (() => DEFAULT_ROUND_TRIP_MILLISECONDS);
     this.policies = policies;
     this.refusals = new Refusals(options.fraction);
     this.directory = new LaneDirectory(
--- a/packages/decisions/src/refusals.ts
+++ b/packages/decisions/src/refusals.ts
@@ -1,6 +1,6 @@
 import {DecisionKind, RefusalReason, type RefuseDecision} from './decision.js';
 import type {Lane} from './lane.js';
-import {ReturnSchedule} from './return-schedule.js';
+import {RetrySchedule} from './retry-schedule.js';
 import type {WorkItem} from './work.js';
 
 /** Approximate time for a changed list of endpoints to reach a router. */
@@ -8,11 +8,11 @@
 
 /** Creates refusals with a computed time to retry after. */
 export class Refusals {
-  private readonly returnSchedule: ReturnSchedule;
+  private readonly returnSchedule: RetrySchedule;
 
   /** @param fraction Returns random numbers in [0, 1). */
   constructor(fraction: () => number) {
-    this.returnSchedule = new ReturnSchedule(fraction);
+    this.returnSchedule = new RetrySchedule(fraction);
   }
 
   /** @param excessMilliseconds By how much the expected wait is too long. */
--- a/packages/decisions/src/resend-budget.ts
+++ b/packages/decisions/src/resend-budget.ts
@@ -1,9 +1,9 @@
 /** Fleet-wide limit on resends to one service. */
 export interface ResendLimits {
   /** Maximum number of resends per request. */
-  readonly ratio: number;
+  readonly resendsPerRequest: number;
   /** Additional resends per window, over all hosts. */
-  readonly extra: number;
+  readonly extraResends: number;
   readonly windowMilliseconds: number;
 }
 
@@ -27,7 +27,7 @@
   constructor(private readonly limits: ResendLimits) {}
 
   /** Records a request of a caller to the service. */
-  requested(now: number): void {
+  recordRequest(now: number): void {
     this.requestTimes.push(now);
     this.dropExpired(now);
   }
@@ -38,9 +38,9 @@
    * @param hosts Number of hosts that share the limit.
    * @returns False if the budget is exhausted.
    */
-  take(hosts: number, now: number): boolean {
+  tryTake(hosts: number, now: number): boolean {
     this.dropExpired(now);
-    const {ratio, extra} = this.limits;
+    const {resendsPerRequest: ratio, extraResends: extra} = this.limits;
     const allowed =
       ratio * this.requestTimes.length + Math.floor(extra / Math.max(1, hosts));
     if (this.resendTimes.length + 1 > USED_SHARE * allowed) {
--- a/packages/decisions/src/return-schedule.ts
+++ b/packages/decisions/src/retry-schedule.ts
@@ -17,7 +17,7 @@
  * reserves the next free time at the rate at which the organisation is served
  * (a leaky bucket), at most half a minute ahead.
  */
-export class ReturnSchedule {
+export class RetrySchedule {
   private readonly scheduledUntil = new Map<string, number>();
 
   /** @param fraction Returns random numbers in [0, 1). */
--- a/packages/decisions/src/rotation-policy.ts
+++ b/packages/decisions/src/rotation-policy.ts
@@ -38,10 +38,10 @@
   abstract get state(): RotationState;
 
   /** Whether the load balancer may send new connections. */
-  abstract get takesConnections(): boolean;
+  abstract get acceptsConnections(): boolean;
 
   /** Whether connections are closed after answers that start now. */
-  abstract get endsConnections(): boolean;
+  abstract get closesConnections(): boolean;
 
   /**
    * Records a readiness probe.
@@ -49,7 +49,7 @@
    * @param now Monotonic clock, in milliseconds.
    * @param isReady The response to the probe.
    */
-  abstract probed(now: number, isReady: boolean): void;
+  abstract recordProbe(now: number, isReady: boolean): void;
 
   /**
    * Updates the state from the current load. Must be called several times a
@@ -63,10 +63,10 @@
 /** Baseline policy: always stays in the rotation. */
 export class AlwaysServing extends RotationPolicy {
   override readonly state = RotationState.Serving;
-  override readonly takesConnections = true;
-  override readonly endsConnections = false;
+  override readonly acceptsConnections = true;
+  override readonly closesConnections = false;
 
-  override probed(): void {
+  override recordProbe(): void {
     // The state does not depend on probes.
   }
 
@@ -157,7 +157,7 @@
  * ```ts
  * const rotation = new WithdrawWhileOverloaded();
  * rotation.observe(now, {isOverloaded: link.isOverloaded, connections});
- * response.statusCode = rotation.takesConnections ? 200 : 503;
+ * response.statusCode = rotation.acceptsConnections ? 200 : 503;
  * ```
  */
 export class WithdrawWhileOverloaded extends RotationPolicy {
@@ -178,18 +178,18 @@
     return this.currentState;
   }
 
-  override get takesConnections(): boolean {
+  override get acceptsConnections(): boolean {
     return (
       this.currentState === RotationState.Serving ||
       this.currentState === RotationState.Needed
     );
   }
 
-  override get endsConnections(): boolean {
+  override get closesConnections(): boolean {
     return this.currentState === RotationState.Shedding;
   }
 
-  override probed(now: number, isReady: boolean): void {
+  override recordProbe(now: number, isReady: boolean): void {
     if (isReady) {
       this.notReadyProbes = 0;
       this.lastNotReadyAt = -Infinity;
--- a/packages/decisions/src/shared-prompt-placement.ts
+++ b/packages/decisions/src/shared-prompt-placement.ts
@@ -11,7 +11,7 @@
    * False if the endpoint should receive nothing while any other candidate is
    * available.
    */
-  readonly isTrusted: boolean;
+  readonly isAvailable: boolean;
 }
 
 /** Properties of a request that determine its placement. */
@@ -56,7 +56,7 @@
 ): PlacementCandidate | undefined {
   const usable = preferred(
     preferred(candidates, candidate => !request.avoided.has(candidate.id)),
-    candidate => candidate.isTrusted,
+    candidate => candidate.isAvailable,
   );
   return request.sharedPart === undefined
     ? leastLoaded(request, usable)
--- a/packages/decisions/src/standing-delay.ts
+++ b/packages/decisions/src/standing-delay.ts
@@ -36,13 +36,13 @@
    * Records the delay of data that the peer sent immediately, or the time after
    * which it had not arrived, in milliseconds.
    */
-  arrived(now: number, milliseconds: number): void {
+  recordArrival(now: number, milliseconds: number): void {
     this.samples.push({at: now, milliseconds});
     this.dropExpired(now);
   }
 
   /** Whether any data arrived without delay within the window. */
-  isPrompt(now: number): boolean {
+  isUndelayed(now: number): boolean {
     return this.minimumDelay(now) < UNDELAYED_MILLISECONDS;
   }
 
--- a/packages/decisions/src/stop-admission.ts
+++ b/packages/decisions/src/stop-admission.ts
@@ -1,12 +1,12 @@
 /** Expected duration of a request that starts now. */
 export interface ExpectedDuration {
   /** Typical duration of requests of its kind, in milliseconds. */
-  readonly likelyMilliseconds: number;
+  readonly typicalMilliseconds: number;
   /**
    * Maximum duration, in milliseconds; the request is ended by then in any
    * case.
    */
-  readonly longestMilliseconds: number;
+  readonly maximumMilliseconds: number;
 }
 
 /**
@@ -32,11 +32,11 @@
 
   /** Whether a request may start now. */
   admits(now: number, expected: ExpectedDuration): boolean {
-    const {likelyMilliseconds, longestMilliseconds} = expected;
+    const {typicalMilliseconds, maximumMilliseconds} = expected;
     const needed =
       now < this.noticePeriodEndsAt
-        ? Math.min(likelyMilliseconds, longestMilliseconds)
-        : longestMilliseconds;
+        ? Math.min(typicalMilliseconds, maximumMilliseconds)
+        : maximumMilliseconds;
     return now + needed <= this.abortAt;
   }
 }
--- a/packages/decisions/src/test/arrival-admission_test.ts
+++ b/packages/decisions/src/test/arrival-admission_test.ts
@@ -148,7 +148,7 @@
 
 const arrivals = fc.array(
   fc.record({
-    cameAt: fc.integer({min: 0, max: 1_000}),
+    receivedAt: fc.integer({min: 0, max: 1_000}),
     objectiveMilliseconds: fc.integer({min: 50, max: 2_000}),
     limitMilliseconds: fc.integer({min: 100, max: 20_000}),
   }),
@@ -161,7 +161,7 @@
 const BUSY_MILLISECONDS = 10_000;
 const UNANSWERED_REQUESTS = 10;
 const ANSWERED: ArrivedRequest = {
-  cameAt: 0,
+  receivedAt: 0,
   objectiveMilliseconds: OBJECTIVE_MILLISECONDS,
   limitMilliseconds: LIMIT_MILLISECONDS,
 };
@@ -174,12 +174,12 @@
   const admission = new BeginWithinLimit();
   const load = {
     busyMilliseconds: BUSY_MILLISECONDS,
-    unanswered: UNANSWERED_REQUESTS,
+    unansweredRequests: UNANSWERED_REQUESTS,
   };
   let now = 0;
   for (const interval of [0, ...pace]) {
     now += interval;
-    admission.answered(load, now);
+    admission.recordAnswerStart(load, now);
   }
   return admission;
 }
@@ -188,7 +188,10 @@
   it('starts every request if the loop has paused, whatever happened before', () => {
     fc.assert(
       fc.property(arrivals, intervals, (arrived, pace) => {
-        const load = {busyMilliseconds: 0, unanswered: UNANSWERED_REQUESTS};
+        const load = {
+          busyMilliseconds: 0,
+          unansweredRequests: UNANSWERED_REQUESTS,
+        };
         const plan = afterAnswers(pace).plan(arrived, load, 1_000);
         expect(plan).toEqual({begun: arrived, refused: []});
       }),
@@ -202,7 +205,10 @@
         intervals,
         fc.integer({min: 1, max: 400}),
         (arrived, pace, more) => {
-          const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered: 2};
+          const load = {
+            busyMilliseconds: BUSY_MILLISECONDS,
+            unansweredRequests: 2,
+          };
           const faster = afterAnswers(pace).plan(arrived, load, 1_000);
           const slower = afterAnswers(
             pace.map(interval => interval + more),
@@ -219,8 +225,11 @@
         arrivals,
         intervals,
         fc.integer({min: 0, max: 20}),
-        (arrived, pace, unanswered) => {
-          const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered};
+        (arrived, pace, unansweredRequests) => {
+          const load = {
+            busyMilliseconds: BUSY_MILLISECONDS,
+            unansweredRequests,
+          };
           const {begun, refused} = afterAnswers(pace).plan(
             arrived,
             load,
@@ -243,7 +252,10 @@
     fc.assert(
       fc.property(arrivals, intervals, (arrived, pace) => {
         fc.pre(arrived.length > 0);
-        const load = {busyMilliseconds: BUSY_MILLISECONDS, unanswered: 0};
+        const load = {
+          busyMilliseconds: BUSY_MILLISECONDS,
+          unansweredRequests: 0,
+        };
         const {begun} = afterAnswers(pace).plan(arrived, load, 1_000);
         expect(begun.length).toBeGreaterThan(0);
       }),
@@ -255,11 +267,11 @@
     // limit.
     const load = {
       busyMilliseconds: BUSY_MILLISECONDS,
-      unanswered: UNANSWERED_REQUESTS,
+      unansweredRequests: UNANSWERED_REQUESTS,
     };
     const admission = afterAnswers(Array.from({length: 200}, () => 95));
-    const young = {...ANSWERED, cameAt: 960};
-    const old = {...ANSWERED, cameAt: 940};
+    const young = {...ANSWERED, receivedAt: 960};
+    const old = {...ANSWERED, receivedAt: 940};
     expect(admission.plan([young], load, 1_000).begun).toEqual([young]);
     expect(admission.plan([old], load, 1_000).begun).toEqual([]);
   });
@@ -269,13 +281,16 @@
     // endpoints are slow.
     const admission = new BeginWithinLimit();
     for (let answer = 1; answer <= 50; answer++) {
-      const load = {busyMilliseconds: 5, unanswered: UNANSWERED_REQUESTS};
-      admission.answered(load, answer * 1_000);
+      const load = {
+        busyMilliseconds: 5,
+        unansweredRequests: UNANSWERED_REQUESTS,
+      };
+      admission.recordAnswerStart(load, answer * 1_000);
     }
     const arrived = Array.from({length: 20}, () => ANSWERED);
     const load = {
       busyMilliseconds: BUSY_MILLISECONDS,
-      unanswered: UNANSWERED_REQUESTS,
+      unansweredRequests: UNANSWERED_REQUESTS,
     };
     expect(admission.plan(arrived, load, 0).begun).toHaveLength(20);
   });
--- a/packages/decisions/src/test/link-delay_test.ts
+++ b/packages/decisions/src/test/link-delay_test.ts
@@ -81,11 +81,11 @@
     this.calls = this.calls.filter(call => {
       const {startedAt, arrivesAt, expiresAt} = call;
       if (arrivesAt <= Math.min(this.now, expiresAt)) {
-        this.delay.arrived(arrivesAt - startedAt);
+        this.delay.recordArrival(arrivesAt - startedAt);
         return false;
       }
       if (expiresAt <= this.now) {
-        this.delay.expired(expiresAt - startedAt);
+        this.delay.recordTimeout(expiresAt - startedAt);
         this.expired++;
         return false;
       }
@@ -167,9 +167,9 @@
         const delay = new LinkDelay();
         for (const {hasCome, milliseconds} of list) {
           if (hasCome) {
-            delay.arrived(milliseconds);
+            delay.recordArrival(milliseconds);
           } else {
-            delay.expired(milliseconds);
+            delay.recordTimeout(milliseconds);
           }
           expect(delay.milliseconds(false)).toBe(0);
           expect(delay.milliseconds(true)).toBeGreaterThanOrEqual(0);
@@ -185,9 +185,9 @@
     // Guards against the maximum wait after a single burst of calls.
     const one = new LinkDelay();
     const many = new LinkDelay();
-    one.expired(120);
+    one.recordTimeout(120);
     for (let call = 0; call < 50; call++) {
-      many.expired(120);
+      many.recordTimeout(120);
     }
     expect(many.milliseconds(true)).toBeLessThanOrEqual(240);
     expect(one.milliseconds(true)).toBe(240);
@@ -197,12 +197,12 @@
     // Guards against long waits because of one silent peer while others answer.
     const delay = new LinkDelay();
     for (let call = 0; call < 40; call++) {
-      delay.arrived(20);
+      delay.recordArrival(20);
     }
-    delay.expired(500);
+    delay.recordTimeout(500);
     expect(delay.milliseconds(true)).toBe(1_000);
     for (let call = 0; call < 20; call++) {
-      delay.arrived(20);
+      delay.recordArrival(20);
     }
     expect(delay.milliseconds(true)).toBeLessThan(100);
   });
--- a/packages/decisions/src/test/link-load_test.ts
+++ b/packages/decisions/src/test/link-load_test.ts
@@ -112,7 +112,7 @@
     fc.assert(
       fc.property(rates, callers => {
         const {load} = new LinkReplay().run(3, callers);
-        const bytes = load.answerBytes(LIMIT_MILLISECONDS);
+        const bytes = load.maximumAnswerBytes(LIMIT_MILLISECONDS);
         const left = Math.max(0, 1 - callers) * CAPACITY_BYTES_PER_SECOND;
         const fits = (left * LIMIT_MILLISECONDS) / 1_000;
         expect(bytes).toBeLessThanOrEqual(Math.max(MINIMUM_BYTES, fits));
@@ -123,7 +123,9 @@
 
   it('is larger when callers use less', () => {
     const bytes = [0.2, 0.6, 0.9].map(callers =>
-      new LinkReplay().run(3, callers).load.answerBytes(LIMIT_MILLISECONDS),
+      new LinkReplay()
+        .run(3, callers)
+        .load.maximumAnswerBytes(LIMIT_MILLISECONDS),
     );
     expect(bytes).toEqual([...bytes].sort((one, other) => other - one));
     expect(new Set(bytes).size).toBe(bytes.length);
--- a/packages/decisions/src/test/loop-replay.ts
+++ b/packages/decisions/src/test/loop-replay.ts
@@ -186,7 +186,7 @@
       sentAt,
       firstAt,
       attemptsLeft,
-      cameAt: sentAt,
+      receivedAt: sentAt,
       objectiveMilliseconds,
       limitMilliseconds: limitMilliseconds - (sentAt - firstAt),
     };
@@ -212,7 +212,7 @@
     if (leftAt < this.now) {
       this.retry(taken, leftAt);
     } else {
-      this.waiting.push({...taken, cameAt: estimatedSentAt});
+      this.waiting.push({...taken, receivedAt: estimatedSentAt});
     }
   }
 
@@ -231,8 +231,8 @@
     }
     for (const {request, retryAfterMilliseconds} of refused) {
       this.now += costs.refuse;
-      const {firstAt, cameAt} = request;
-      this.holds.push({firstAt, took: this.now - cameAt});
+      const {firstAt, receivedAt} = request;
+      this.holds.push({firstAt, took: this.now - receivedAt});
       this.retry(request, this.now + retryAfterMilliseconds);
     }
   }
@@ -240,7 +240,7 @@
   private load(): LoopLoad {
     return {
       busyMilliseconds: this.now - this.busyFrom,
-      unanswered: this.answers.length,
+      unansweredRequests: this.answers.length,
     };
   }
 
@@ -252,7 +252,7 @@
         continue;
       }
       this.now += this.pattern.costs.answer;
-      this.admission.answered(this.load(), this.now);
+      this.admission.recordAnswerStart(this.load(), this.now);
       this.answered.push({firstAt});
     }
   }
--- a/packages/decisions/src/test/resend-budget_test.ts
+++ b/packages/decisions/src/test/resend-budget_test.ts
@@ -2,7 +2,11 @@
 
 import {ResendBudget} from '../resend-budget.js';
 
-const LIMITS = {ratio: 0.2, extra: 58, windowMilliseconds: 10_000};
+const LIMITS = {
+  resendsPerRequest: 0.2,
+  extraResends: 58,
+  windowMilliseconds: 10_000,
+};
 
 /** Number of resends granted if every request asks for one. */
 function grantedResends(hosts: number, requestsEach: number): number {
@@ -10,8 +14,8 @@
   for (let host = 0; host < hosts; host++) {
     const budget = new ResendBudget(LIMITS);
     for (let request = 0; request < requestsEach; request++) {
-      budget.requested(request);
-      total += budget.take(hosts, request) ? 1 : 0;
+      budget.recordRequest(request);
+      total += budget.tryTake(hosts, request) ? 1 : 0;
     }
   }
   return total;
@@ -27,14 +31,19 @@
     // An endpoint fails and each request could be sent to a second one. Guards
     // against doubling the load on the remaining endpoints, which would then
     // fail as well.
-    const bound = LIMITS.ratio * hosts * requestsEach + LIMITS.extra;
+    const bound =
+      LIMITS.resendsPerRequest * hosts * requestsEach + LIMITS.extraResends;
     expect(grantedResends(hosts, requestsEach)).toBeLessThanOrEqual(bound);
   });
 
   it('ignores resends older than the window', () => {
-    const budget = new ResendBudget({...LIMITS, ratio: 0, extra: 2});
-    expect(budget.take(1, 0)).toBe(true);
-    expect(budget.take(1, 5_000)).toBe(false);
-    expect(budget.take(1, 10_001)).toBe(true);
+    const budget = new ResendBudget({
+      ...LIMITS,
+      resendsPerRequest: 0,
+      extraResends: 2,
+    });
+    expect(budget.tryTake(1, 0)).toBe(true);
+    expect(budget.tryTake(1, 5_000)).toBe(false);
+    expect(budget.tryTake(1, 10_001)).toBe(true);
   });
 });
--- a/packages/decisions/src/test/rotation-policy_test.ts
+++ b/packages/decisions/src/test/rotation-policy_test.ts
@@ -50,7 +50,7 @@
       policy.observe(now, {isOverloaded, connections});
       check();
       if (now % PROBE_INTERVAL_MILLISECONDS === 0) {
-        policy.probed(now, policy.takesConnections);
+        policy.recordProbe(now, policy.acceptsConnections);
       }
     }
   }
@@ -152,12 +152,12 @@
       };
       const full = {...idle, isOverloaded: true, seconds: 30};
       runPhases(policy, [idle, full, idle], () => {
-        refused += policy.takesConnections
+        refused += policy.acceptsConnections
           ? 0
           : OBSERVATION_INTERVAL_MILLISECONDS;
       });
       expect(refused / 1_000).toBeLessThanOrEqual(180 / 8);
-      expect(policy.endsConnections && policy.takesConnections).toBe(false);
+      expect(policy.closesConnections && policy.acceptsConnections).toBe(false);
     },
   );
 });
@@ -179,7 +179,7 @@
       policy,
       rounds.flatMap(() => [load, idle]),
       () => {
-        refused += policy.takesConnections
+        refused += policy.acceptsConnections
           ? 0
           : OBSERVATION_INTERVAL_MILLISECONDS;
       },
@@ -195,7 +195,7 @@
     const policy = new WithdrawWhileOverloaded();
     policy.observe(0, {isOverloaded: true, connections: 0});
     for (let now = 0; now < 700; now += 100) {
-      policy.probed(now, false);
+      policy.recordProbe(now, false);
     }
     policy.observe(700, {isOverloaded: true, connections: 0});
     expect(policy.state).toBe(RotationState.Withdrawing);
@@ -231,7 +231,9 @@
       fc.property(loads, rows => {
         const policy = new WithdrawWhileOverloaded();
         runPhases(policy, rows, () => {
-          expect(policy.endsConnections && policy.takesConnections).toBe(false);
+          expect(policy.closesConnections && policy.acceptsConnections).toBe(
+            false,
+          );
         });
       }),
     );
@@ -244,7 +246,7 @@
         const seconds = MAXIMUM_RETURN_MILLISECONDS / 1_000;
         const idle = {isOverloaded: false, seconds, connectionsPerSecond: 0};
         runPhases(policy, [...rows, idle], () => undefined);
-        expect(policy.takesConnections).toBe(true);
+        expect(policy.acceptsConnections).toBe(true);
       }),
     );
   });
--- a/packages/decisions/src/test/rotation-replay.ts
+++ b/packages/decisions/src/test/rotation-replay.ts
@@ -68,9 +68,9 @@
   }
 
   probe(now: number): void {
-    const {takesConnections} = this.policy;
-    this.notReadyProbes = takesConnections ? 0 : this.notReadyProbes + 1;
-    this.policy.probed(now, takesConnections);
+    const {acceptsConnections} = this.policy;
+    this.notReadyProbes = acceptsConnections ? 0 : this.notReadyProbes + 1;
+    this.policy.recordProbe(now, acceptsConnections);
   }
 
   observe(now: number): void {
@@ -144,7 +144,7 @@
 
   /** Number of hosts that accept new connections. */
   get acceptingHosts(): number {
-    return this.hosts.filter(({policy}) => policy.takesConnections).length;
+    return this.hosts.filter(({policy}) => policy.acceptsConnections).length;
   }
 
   get states(): readonly RotationState[] {
@@ -174,7 +174,7 @@
 
   private answer(host: Host, index: number, waiting: Waiting): void {
     const {callers, sentAt, isRetry} = waiting;
-    if (!host.policy.endsConnections) {
+    if (!host.policy.closesConnections) {
       callers.idle.push(index);
     }
     if (this.now - sentAt <= MAXIMUM_WAIT_MILLISECONDS) {
--- a/packages/decisions/src/test/shared-prompt-placement_test.ts
+++ b/packages/decisions/src/test/shared-prompt-placement_test.ts
@@ -14,7 +14,7 @@
     dataCenter: 'a',
     slots: 6,
     load: 0,
-    isTrusted: true,
+    isAvailable: true,
     ...options,
   };
 }
@@ -98,7 +98,7 @@
       avoided: new Set(['failed']),
     };
     const failed = endpoint('failed');
-    const doubted = endpoint('doubted', {isTrusted: false});
+    const doubted = endpoint('doubted', {isAvailable: false});
     expect(placeRequest(request, [failed, doubted])?.id).toBe('doubted');
     expect(placeRequest(request, [failed])?.id).toBe('failed');
     expect(placeRequest(request, [])).toBeUndefined();
--- a/packages/decisions/src/test/standing-delay_test.ts
+++ b/packages/decisions/src/test/standing-delay_test.ts
@@ -12,7 +12,7 @@
 function recordDelays(...rows: readonly number[]): boolean {
   for (const milliseconds of rows) {
     now += SAMPLE_INTERVAL_MILLISECONDS;
-    delay.arrived(now, milliseconds);
+    delay.recordArrival(now, milliseconds);
   }
   return delay.isStanding(now);
 }
@@ -69,8 +69,8 @@
 
   it('reports whether data arrived without delay', () => {
     expect(recordDelays(...repeat(20, 700), 3)).toBe(false);
-    expect(delay.isPrompt(now)).toBe(true);
+    expect(delay.isUndelayed(now)).toBe(true);
     recordDelays(...repeat(20, 700));
-    expect(delay.isPrompt(now)).toBe(false);
+    expect(delay.isUndelayed(now)).toBe(false);
   });
 });
--- a/packages/decisions/src/test/stop-admission_test.ts
+++ b/packages/decisions/src/test/stop-admission_test.ts
@@ -13,30 +13,30 @@
   it('accepts streams of callers that cannot know about the shutdown yet', () => {
     // Guards against refusals by one host after another when most hosts stop at
     // once.
-    const stream = {likelyMilliseconds: 1_500, longestMilliseconds: 15_000};
+    const stream = {typicalMilliseconds: 1_500, maximumMilliseconds: 15_000};
     expect(admission.admits(0, stream)).toBe(true);
     expect(admission.admits(NOTICE_PERIOD_ENDS_AT - 1, stream)).toBe(true);
   });
 
   test.prop([milliseconds, milliseconds, milliseconds])(
     'accepts no request after the notice period that could be aborted',
-    (now, likelyMilliseconds, longestMilliseconds) => {
+    (now, typicalMilliseconds, maximumMilliseconds) => {
       // Guards against a stream that takes longer than usual and is aborted.
       fc.pre(now >= NOTICE_PERIOD_ENDS_AT);
-      const expected = {likelyMilliseconds, longestMilliseconds};
+      const expected = {typicalMilliseconds, maximumMilliseconds};
       expect(admission.admits(now, expected)).toBe(
-        now + longestMilliseconds <= ABORT_AT,
+        now + maximumMilliseconds <= ABORT_AT,
       );
     },
   );
 
   test.prop([milliseconds, milliseconds])(
     'accepts every request whose time limit ends before the abort',
-    (now, likelyMilliseconds) => {
+    (now, typicalMilliseconds) => {
       // Guards against refusing requests that could have been served.
       fc.pre(now <= ABORT_AT);
-      const longestMilliseconds = ABORT_AT - now;
-      const expected = {likelyMilliseconds, longestMilliseconds};
+      const maximumMilliseconds = ABORT_AT - now;
+      const expected = {typicalMilliseconds, maximumMilliseconds};
       expect(admission.admits(now, expected)).toBe(true);
     },
   );
--- a/packages/gateway/src/answer-timeouts.ts
+++ b/packages/gateway/src/answer-timeouts.ts
@@ -1,8 +1,8 @@
 import type {
   AnswerEstimate,
-  DataCenterTrust,
+  DataCenterCircuitBreaker,
   PromptSize,
-  SilenceBounds,
+  FirstEventTimeoutBounds,
 } from '@wisteriadeal/decisions';
 import type {Clock, HostLink} from '@wisteriadeal/platform';
 
@@ -10,7 +10,10 @@
 import type {KnownEndpoint} from './endpoint-directory.js';
 import type {EndpointExchange} from './endpoint-exchange.js';
 import type {RequestContext} from './request-context.js';
-import {InactivityMonitor, type InactivityLimits} from './silence-watch.js';
+import {
+  InactivityMonitor,
+  type InactivityLimits,
+} from './inactivity-monitor.js';
 
 /** Inactivity timeouts for one kind of answer. */
 interface TimeoutOptions {
@@ -70,7 +73,7 @@
 
   constructor(
     private readonly context: RequestContext,
-    private readonly dataCenters: DataCenterTrust,
+    private readonly dataCenters: DataCenterCircuitBreaker,
     private readonly clock: Clock,
     private readonly link: HostLink,
   ) {
@@ -105,8 +108,8 @@
       }
       const now = this.clock.monotonicMilliseconds();
       const {dataCenter, id} = endpoint.entry;
-      endpoint.trust.fellSilent(now);
-      this.dataCenters.fellSilent(dataCenter, id, now);
+      endpoint.breaker.recordSilence(now);
+      this.dataCenters.recordSilence(dataCenter, id, now);
     };
     return new InactivityMonitor(this.limits(canFailOver), this.clock, {
       onSuspect: suspect,
@@ -126,9 +129,12 @@
    */
   recordFirstByteTime(monitor: InactivityMonitor): void {
     if (monitor.timeToFirstByte === undefined) {
-      this.estimate.missed(this.promptSize(), monitor.elapsedMilliseconds);
+      this.estimate.recordTimeout(
+        this.promptSize(),
+        monitor.elapsedMilliseconds,
+      );
     } else {
-      this.estimate.came(this.promptSize(), monitor.timeToFirstByte);
+      this.estimate.recordStart(this.promptSize(), monitor.timeToFirstByte);
     }
   }
 
@@ -149,28 +155,28 @@
     };
   }
 
-  private suspectBounds(): SilenceBounds {
+  private suspectBounds(): FirstEventTimeoutBounds {
     const {suspectFactor, minimumSuspectMilliseconds} = this.options;
     return {
       expectedFactor: suspectFactor,
-      shortestMilliseconds: minimumSuspectMilliseconds,
+      minimumMilliseconds: minimumSuspectMilliseconds,
     };
   }
 
-  private failoverBounds(): SilenceBounds {
+  private failoverBounds(): FirstEventTimeoutBounds {
     const {failoverFactor, failoverGoals, minimumFailoverMilliseconds} =
       this.options;
     return {
       expectedFactor: failoverFactor,
-      shortestMilliseconds: Math.max(
+      minimumMilliseconds: Math.max(
         minimumFailoverMilliseconds,
         failoverGoals * this.context.route.goalMilliseconds,
       ),
     };
   }
 
-  private firstByteTimeout(bounds: SilenceBounds): number {
-    const limit = this.estimate.limit(this.promptSize(), bounds);
+  private firstByteTimeout(bounds: FirstEventTimeoutBounds): number {
+    const limit = this.estimate.timeoutMilliseconds(this.promptSize(), bounds);
     return limit + this.link.delayMilliseconds;
   }
 
--- a/packages/gateway/src/arrival-queue.ts
+++ b/packages/gateway/src/arrival-queue.ts
@@ -6,7 +6,7 @@
 } from '@wisteriadeal/decisions';
 
 import type {CallerExchange} from './caller-exchange.js';
-import type {EventLoopMonitor} from './loop-watch.js';
+import type {EventLoopMonitor} from './event-loop-monitor.js';
 
 /** A request that was read and not started yet. */
 export interface QueuedRequest extends ArrivedRequest {
@@ -79,7 +79,7 @@
       Math.min(maximumUnread, arrival.objectiveMilliseconds) / 2;
     this.waiting.push({
       ...arrival,
-      cameAt: arrival.cameAt - unreadMilliseconds,
+      receivedAt: arrival.receivedAt - unreadMilliseconds,
     });
     this.scheduleTurn();
   }
@@ -117,7 +117,7 @@
     this.unanswered.add(caller);
     caller.setAnswerListener(() => {
       this.unanswered.delete(caller);
-      this.admission.answered(this.load(), this.now());
+      this.admission.recordAnswerStart(this.load(), this.now());
     });
     this.handlers.begin(caller);
   }
@@ -138,7 +138,7 @@
   private load(): LoopLoad {
     return {
       busyMilliseconds: this.loopMonitor.reading.busyMilliseconds,
-      unanswered: this.unanswered.size,
+      unansweredRequests: this.unanswered.size,
     };
   }
 
--- a/packages/gateway/src/budget-answer.ts
+++ b/packages/gateway/src/budget-answer.ts
@@ -1,10 +1,10 @@
 import {
-  failed,
-  notRun,
-  OwnReason,
-  STOPPING_RETRY_MILLISECONDS,
-  type OwnAnswer,
-} from './own-answer.js';
+  failureReply,
+  notExecutedReply,
+  LocalReplyReason,
+  STOPPING_RETRY_AFTER_MILLISECONDS,
+  type LocalReply,
+} from './local-reply.js';
 import {BudgetRefusal} from './token-waiters.js';
 
 /** `Retry-After` while other holders have the tokens: a grant is likely by then. */
@@ -27,17 +27,23 @@
 export function budgetAnswer(
   refusal: BudgetRefusal,
   unavailableMilliseconds: number,
-): OwnAnswer {
+): LocalReply {
   switch (refusal) {
     case BudgetRefusal.Exhausted:
-      return failed(402, OwnReason.BudgetExhausted);
+      return failureReply(402, LocalReplyReason.BudgetExhausted);
     case BudgetRefusal.HeldElsewhere:
-      return notRun(OwnReason.BudgetUnavailable, BUDGET_RETRY_MILLISECONDS);
+      return notExecutedReply(
+        LocalReplyReason.BudgetUnavailable,
+        BUDGET_RETRY_MILLISECONDS,
+      );
     case BudgetRefusal.Stopping:
-      return notRun(OwnReason.Stopping, STOPPING_RETRY_MILLISECONDS);
+      return notExecutedReply(
+        LocalReplyReason.Stopping,
+        STOPPING_RETRY_AFTER_MILLISECONDS,
+      );
     case BudgetRefusal.StoreUnavailable:
-      return notRun(
-        OwnReason.BudgetUnavailable,
+      return notExecutedReply(
+        LocalReplyReason.BudgetUnavailable,
         Math.min(
           MAXIMUM_STORE_RETRY_MILLISECONDS,
           Math.max(MINIMUM_STORE_RETRY_MILLISECONDS, unavailableMilliseconds),
--- a/packages/gateway/src/budget-codec.ts
+++ b/packages/gateway/src/budget-codec.ts
@@ -6,9 +6,9 @@
   type BudgetRecord,
 } from '@wisteriadeal/schema';
 
-import {PlainMessageReader} from './plain-message-reader.js';
+import {FastMessageDecoder} from './fast-message-decoder.js';
 
-const RECORD_READER = new PlainMessageReader(BudgetRecordSchema);
+const RECORD_READER = new FastMessageDecoder(BudgetRecordSchema);
 
 /** The change that a record describes. */
 export type BudgetChange = Exclude<
@@ -33,7 +33,7 @@
 /** Decodes a record; undefined for other bytes, which the fold skips. */
 export function decodeRecord(bytes: Uint8Array): BudgetRecord | undefined {
   return (
-    RECORD_READER.read(bytes) ??
+    RECORD_READER.decode(bytes) ??
     tryDecode(() => fromBinary(BudgetRecordSchema, bytes))
   );
 }
--- a/packages/gateway/src/budget-holder.ts
+++ b/packages/gateway/src/budget-holder.ts
@@ -94,7 +94,7 @@
   }
 
   /** Number of processes that share the budgets, including this one. */
-  get holders(): number {
+  get holderCount(): number {
     return Math.max(1, this.replica.fold.holders.size);
   }
 
@@ -143,7 +143,7 @@
   async close(): Promise<void> {
     this.beginClosing();
     await this.running;
-    if (this.health.isAway) {
+    if (this.health.isUnavailable) {
       await this.borrower.handOver(this.debitAvailable());
     } else {
       for (const budget of this.registry.all) {
@@ -248,7 +248,7 @@
     this.events.info('budget holder opened', {
       incarnation: this.journal.incarnation,
       offset: this.replica.fold.nextOffset,
-      holders: this.holders,
+      holders: this.holderCount,
     });
   }
 
--- a/packages/gateway/src/budget-registry.ts
+++ b/packages/gateway/src/budget-registry.ts
@@ -69,7 +69,7 @@
    */
   timeoutRefusal(budget: OrganisationBudget, bound: number): BudgetRefusal {
     const view = this.view(budget.name);
-    return this.health.isAway || budget.expectsGrant(view, bound)
+    return this.health.isUnavailable || budget.expectsGrant(view, bound)
       ? BudgetRefusal.StoreUnavailable
       : BudgetRefusal.HeldElsewhere;
   }
--- a/packages/gateway/src/caller-exchange.ts
+++ b/packages/gateway/src/caller-exchange.ts
@@ -2,7 +2,7 @@
 
 import type {CallerHeaders, Dialect} from './dialect.js';
 import {nextEventLoopTurn} from './event-loop.js';
-import type {OwnAnswer} from './own-answer.js';
+import type {LocalReply} from './local-reply.js';
 
 /** Two spaces, `HTTP/1.1` and a line end of the request line. */
 const REQUEST_LINE_OVERHEAD_BYTES = 12;
@@ -235,7 +235,7 @@
   }
 
   /** Sends a reply that the gateway generates, without an endpoint's proof. */
-  sendLocalReply(reply: OwnAnswer): void {
+  sendLocalReply(reply: LocalReply): void {
     const {status, reason, retryAfterMilliseconds} = reply;
     const headers = ['Content-Type', 'application/problem+json'];
     if (retryAfterMilliseconds !== undefined) {
--- a/packages/gateway/src/caller-listener.ts
+++ b/packages/gateway/src/caller-listener.ts
@@ -8,7 +8,7 @@
 
 import {CallerConnections} from './caller-connections.js';
 import {nextEventLoopTurn} from './event-loop.js';
-import {listening, portOf, type ListenAddress} from './listening.js';
+import {listen, portOf, type ListenAddress} from './listening.js';
 
 /**
  * Handles a request; `arrivedAt` is on the process's monotonic clock,
@@ -37,7 +37,7 @@
  * would reset each of their connections, which costs the one retry that most
  * callers have.
  */
-export class CallerDoor {
+export class CallerListener {
   readonly server: Server;
   readonly connections: CallerConnections;
   private readonly waiting: PendingRequest[] = [];
@@ -71,7 +71,7 @@
    */
   async listen(address: ListenAddress): Promise<void> {
     if (!this.server.listening) {
-      await listening(this.server, address);
+      await listen(this.server, address);
     }
   }
 
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -6,7 +6,7 @@
 
 import {ArrivalQueue} from './arrival-queue.js';
 import type {ConnectionCounts} from './caller-connections.js';
-import type {CallerDoor} from './caller-listener.js';
+import type {CallerListener} from './caller-listener.js';
 import {CallerExchange} from './caller-exchange.js';
 import type {CallerLimits} from './configuration.js';
 import type {Dialect} from './dialect.js';
@@ -14,7 +14,7 @@
 import type {HostRotation} from './host-rotation.js';
 import type {ListenAddress} from './listening.js';
 import {LoadReport} from './load-report.js';
-import {EventLoopMonitor} from './loop-watch.js';
+import {EventLoopMonitor} from './event-loop-monitor.js';
 import type {RequestHandler} from './request-handler.js';
 import type {StartGate} from './start-gate.js';
 
@@ -31,7 +31,7 @@
   private readonly socketsWithoutRequest = new WeakSet<Socket>();
 
   constructor(
-    private readonly listener: CallerDoor,
+    private readonly listener: CallerListener,
     private readonly dialect: Dialect,
     private readonly handler: RequestHandler,
     private readonly gate: StartGate,
@@ -160,7 +160,7 @@
       arrivedAt,
       unseenMilliseconds,
       () =>
-        this.rotation.endsConnections &&
+        this.rotation.closesConnections &&
         this.listener.connections.canCloseAfter(request, response),
       isFirst,
     );
@@ -189,7 +189,7 @@
     }
     const {estimatedArrivalAt} = caller;
     this.arrivals.add(
-      {caller, cameAt: estimatedArrivalAt, ...deadlines},
+      {caller, receivedAt: estimatedArrivalAt, ...deadlines},
       isFirst,
     );
   }
--- a/packages/gateway/src/endpoint-chooser.ts
+++ b/packages/gateway/src/endpoint-chooser.ts
@@ -1,7 +1,7 @@
 import {
   failedShareLimit,
   placeRequest,
-  type DataCenterTrust,
+  type DataCenterCircuitBreaker,
   type PlacementCandidate,
 } from '@wisteriadeal/decisions';
 import type {Clock} from '@wisteriadeal/platform';
@@ -20,7 +20,7 @@
 export class EndpointChooser {
   constructor(
     private readonly directory: EndpointDirectory,
-    private readonly dataCenters: DataCenterTrust,
+    private readonly dataCenters: DataCenterCircuitBreaker,
     private readonly clock: Clock,
     private readonly dataCenter: string,
   ) {}
@@ -50,17 +50,19 @@
   private candidates(service: string): readonly Candidate[] {
     const now = this.clock.monotonicMilliseconds();
     const open = this.directory.openEndpoints(service);
-    const limit = failedShareLimit(open.map(({trust}) => trust.failedShare));
+    const limit = failedShareLimit(
+      open.map(({breaker}) => breaker.failedShare),
+    );
     return open.map(endpoint => ({
       endpoint,
       id: endpoint.entry.id,
       dataCenter: endpoint.entry.dataCenter,
       slots: endpoint.entry.slots,
       load: endpoint.load,
-      isTrusted:
-        endpoint.trust.isTrusted(now) &&
-        this.dataCenters.isTrusted(endpoint.entry.dataCenter, now) &&
-        endpoint.trust.failedShare <= limit,
+      isAvailable:
+        endpoint.breaker.isAvailable(now) &&
+        this.dataCenters.isAvailable(endpoint.entry.dataCenter, now) &&
+        endpoint.breaker.failedShare <= limit,
     }));
   }
 }
--- a/packages/gateway/src/endpoint-connection-pool.ts
+++ b/packages/gateway/src/endpoint-connection-pool.ts
@@ -1,4 +1,4 @@
-import {FreeLink, type HostLink} from '@wisteriadeal/platform';
+import {UncongestedLink, type HostLink} from '@wisteriadeal/platform';
 import {Agent, type AgentOptions, type ClientRequest} from 'node:http';
 import type {Socket} from 'node:net';
 
@@ -63,7 +63,7 @@
 
   /** @param link This host's link; connects take longer while it is full. */
   constructor(
-    private readonly link: HostLink = new FreeLink(),
+    private readonly link: HostLink = new UncongestedLink(),
     options: AgentOptions = {},
   ) {
     super({keepAlive: true, scheduling: 'lifo', noDelay: true, ...options});
@@ -111,8 +111,8 @@
 
   /** Records the duration of a successful connect. */
   recordConnect(milliseconds: number): void {
-    this.link.connected(milliseconds);
-    this.link.arrived(milliseconds);
+    this.link.recordConnection(milliseconds);
+    this.link.recordArrival(milliseconds);
     this.meanConnectMilliseconds +=
       (milliseconds - this.meanConnectMilliseconds) / CONNECT_MEAN_SAMPLES;
   }
@@ -132,8 +132,8 @@
 
   /** Records how long a connect had been pending when it was abandoned. */
   recordAbandonedConnect(milliseconds: number): void {
-    this.link.connected(milliseconds);
-    this.link.expired(milliseconds);
+    this.link.recordConnection(milliseconds);
+    this.link.recordTimeout(milliseconds);
   }
 
   override keepSocketAlive(socket: Socket): boolean {
--- a/packages/gateway/src/endpoint-directory.ts
+++ b/packages/gateway/src/endpoint-directory.ts
@@ -1,4 +1,4 @@
-import {EndpointTrust} from '@wisteriadeal/decisions';
+import {EndpointCircuitBreaker} from '@wisteriadeal/decisions';
 import type {Clock, KeyedRecord} from '@wisteriadeal/platform';
 import type {EventLog} from '@wisteriadeal/runtime';
 
@@ -9,7 +9,7 @@
 
 /** An endpoint, and this host's observations of it. */
 export class KnownEndpoint {
-  readonly trust = new EndpointTrust();
+  readonly breaker = new EndpointCircuitBreaker();
   /** Number of this host's requests in progress at the endpoint. */
   load = 0;
   /**
@@ -225,7 +225,7 @@
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (this.health.sinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
+    if (this.health.millisecondsSinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
       this.lapsed.set(id, now);
       this.events.warn('endpoint lapsed', {endpoint: id});
       return;
@@ -239,7 +239,7 @@
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (this.health.sinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
+    if (this.health.millisecondsSinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
       return;
     }
     for (const id of this.lapsed.keys()) {
--- a/packages/gateway/src/plain-message-reader.ts
+++ b/packages/gateway/src/fast-message-decoder.ts
@@ -21,11 +21,11 @@
  *
  * @example
  * ```ts
- * const reader = new PlainMessageReader(BudgetRecordSchema);
+ * const reader = new FastMessageDecoder(BudgetRecordSchema);
  * const record = reader.read(bytes) ?? fromBinary(BudgetRecordSchema, bytes);
  * ```
  */
-export class PlainMessageReader<Schema extends DescMessage> {
+export class FastMessageDecoder<Schema extends DescMessage> {
   private readonly readers = new Map<number, ReadField>();
   private readonly empty: Fields;
 
@@ -46,7 +46,7 @@
   /**
    * @returns Undefined for bytes that only the library can decode or reject.
    */
-  read(bytes: Uint8Array): MessageShape<Schema> | undefined {
+  decode(bytes: Uint8Array): MessageShape<Schema> | undefined {
     try {
       return this.decodeUntil(
         new BinaryReader(bytes),
@@ -87,7 +87,7 @@
       return;
     }
     const {localName} = field;
-    const content = new PlainMessageReader(field.message);
+    const content = new FastMessageDecoder(field.message);
     const none = this.empty[name];
     this.readers.set(
       tagOf(field.number, WireType.LengthDelimited),
--- a/packages/gateway/src/gateway-limits.ts
+++ b/packages/gateway/src/gateway-limits.ts
@@ -54,8 +54,8 @@
       DEFAULT_STOP_GRACE_SECONDS,
     ),
     resends: {
-      ratio: settings.retryBudgetRatio,
-      extra: settings.retryBudgetExtra,
+      resendsPerRequest: settings.retryBudgetRatio,
+      extraResends: settings.retryBudgetExtra,
       windowMilliseconds: secondsToMilliseconds(
         settings.retryBudgetWindowSeconds,
         DEFAULT_RETRY_WINDOW_SECONDS,
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -46,7 +46,7 @@
   override isReady(): boolean {
     return (
       !this.isStopping &&
-      this.rotation.takesConnections &&
+      this.rotation.acceptsConnections &&
       this.budgets.isReady &&
       this.configuration.current !== undefined &&
       this.directory.all.length > 0
@@ -54,7 +54,7 @@
   }
 
   override readinessAnswered(isReady: boolean): void {
-    this.rotation.probed(isReady);
+    this.rotation.recordProbe(isReady);
   }
 
   override dump(): JsonValue {
@@ -66,24 +66,24 @@
       rotation: this.rotation.state,
       configuration: configuration?.version ?? null,
       away: {
-        budgets: this.health.budgets.isAway,
-        endpoints: this.health.endpoints.isAway,
-        configuration: this.health.configuration.isAway,
+        budgets: this.health.budgets.isUnavailable,
+        endpoints: this.health.endpoints.isUnavailable,
+        configuration: this.health.configuration.isUnavailable,
       },
       budgetAnswerAgeMilliseconds: Math.round(
-        this.health.budgets.answerAge(now),
+        this.health.budgets.answerAgeMilliseconds(now),
       ),
       configurationAnswerAgeMilliseconds: Math.round(
-        this.health.configuration.answerAge(now),
+        this.health.configuration.answerAgeMilliseconds(now),
       ),
       openRequests: this.callers.openRequests,
-      endpoints: this.directory.all.map(({entry, load, trust}) => ({
+      endpoints: this.directory.all.map(({entry, load, breaker}) => ({
         id: entry.id,
         service: entry.service,
         leaving: entry.isLeaving,
         load,
-        trusted: trust.isTrusted(now),
-        failedShare: trust.failedShare,
+        trusted: breaker.isAvailable(now),
+        failedShare: breaker.failedShare,
       })),
       budgets: Object.fromEntries(
         (configuration?.organisations ?? []).map(({name}) => [
@@ -103,8 +103,11 @@
       ['endpoints', this.health.endpoints],
       ['configuration', this.health.configuration],
     ] as const) {
-      this.metrics.setState(`${topic}_away`, health.isAway ? 1 : 0);
-      this.metrics.setState(`${topic}_answer_age_ms`, health.answerAge(now));
+      this.metrics.setState(`${topic}_away`, health.isUnavailable ? 1 : 0);
+      this.metrics.setState(
+        `${topic}_answer_age_ms`,
+        health.answerAgeMilliseconds(now),
+      );
     }
     this.metrics.setState('link_received_bytes', this.link.receivedBytes);
     this.metrics.setState('link_sent_bytes', this.link.sentBytes);
@@ -120,10 +123,10 @@
     this.metrics.setState('link_delay_ms', this.link.delayMilliseconds);
     this.metrics.setState(
       'in_rotation',
-      this.rotation.takesConnections ? 1 : 0,
+      this.rotation.acceptsConnections ? 1 : 0,
     );
     this.metrics.setState('endpoints', this.directory.all.length);
-    this.metrics.setState('budget_holders', this.budgets.holders);
+    this.metrics.setState('budget_holders', this.budgets.holderCount);
     this.metrics.setState('resident_bytes', process.memoryUsage.rss());
     const version = this.configuration.current?.version ?? -1;
     this.metrics.setState('configuration_version', version);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,6 +1,6 @@
 import {DemandSizing} from '@wisteriadeal/budgets';
 import {
-  DataCenterTrust,
+  DataCenterCircuitBreaker,
   WithdrawWhileOverloaded,
 } from '@wisteriadeal/decisions';
 import type {Clock, PartitionedLog, RandomSource} from '@wisteriadeal/platform';
@@ -11,7 +11,7 @@
 import {BudgetHolder} from './budget-holder.js';
 import {BudgetJournal} from './budget-journal.js';
 import {BudgetReplica} from './budget-replica.js';
-import type {CallerDoor} from './caller-listener.js';
+import type {CallerListener} from './caller-listener.js';
 import {CallerServer} from './caller-server.js';
 import {ConfigurationState} from './configuration-state.js';
 import type {Dialect} from './dialect.js';
@@ -47,7 +47,7 @@
   readonly random: RandomSource;
   readonly events: EventLog;
   /** Listener for callers; may already be listening. */
-  readonly door: CallerDoor;
+  readonly callerListener: CallerListener;
   /** Traffic of the host; by default that of this process. */
   readonly traffic?: HostTraffic;
 }
@@ -123,7 +123,7 @@
     this.bills = new BillWriter(settings.host, log, clock, events);
     this.handler = this.createHandler();
     this.callers = new CallerServer(
-      parts.door,
+      parts.callerListener,
       dialect,
       this.handler,
       this.gate,
@@ -156,7 +156,7 @@
         isOverloaded: this.link.isOverloaded,
         connections: this.callers.acceptedConnections,
       });
-      this.budgets.setLeaving(this.rotation.endsConnections);
+      this.budgets.setLeaving(this.rotation.closesConnections);
     });
     this.directory.onRead(() => {
       this.gate.requirementMet(StartRequirement.Endpoints);
@@ -342,8 +342,8 @@
         link: this.link,
         directory: this.directory,
         dataCenter: settings.dataCenter,
-        dataCenters: new DataCenterTrust(settings.dataCenter),
-        hostCount: () => this.budgets.holders,
+        dataCenters: new DataCenterCircuitBreaker(settings.dataCenter),
+        hostCount: () => this.budgets.holderCount,
       },
       gatewayLimits(settings).resends,
       undeliveredCharge(settings),
--- a/packages/gateway/src/grant-borrower.ts
+++ b/packages/gateway/src/grant-borrower.ts
@@ -1,5 +1,5 @@
 import {
-  lendersOf,
+  lendersByHeldTokens,
   UnansweredLoans,
   type RecordedLoan,
 } from '@wisteriadeal/budgets';
@@ -122,7 +122,7 @@
     if (this.expectsGrant(budget)) {
       return;
     }
-    if (this.health.isAway) {
+    if (this.health.isUnavailable) {
       budget.waiters.refuseUndispatched(BudgetRefusal.StoreUnavailable);
     } else {
       budget.waiters.refuseFirst(BudgetRefusal.HeldElsewhere);
@@ -137,7 +137,9 @@
 
   /** Whether the store answers, or its calls failed only for this host's own link. */
   private isLogUsable(): boolean {
-    const failedFor = this.health.awayFor(this.clock.monotonicMilliseconds());
+    const failedFor = this.health.unavailableMilliseconds(
+      this.clock.monotonicMilliseconds(),
+    );
     return !this.health.isOutage && failedFor < LINK_FAILURE_MILLISECONDS;
   }
 
@@ -184,7 +186,7 @@
   }
 
   private async borrowFromLenders(budget: OrganisationBudget): Promise<void> {
-    const lenders = lendersOf(
+    const lenders = lendersByHeldTokens(
       this.replica.fold,
       budget.name,
       this.journal.incarnation,
--- a/packages/gateway/src/grant-lender.ts
+++ b/packages/gateway/src/grant-lender.ts
@@ -1,4 +1,4 @@
-import {loanFor} from '@wisteriadeal/budgets';
+import {loanAmount} from '@wisteriadeal/budgets';
 import type {EventLog} from '@wisteriadeal/runtime';
 
 import type {BudgetJournal} from './budget-journal.js';
@@ -40,11 +40,11 @@
       !inHandOnly &&
       budget.account.available < least &&
       (view?.unallocated ?? 0) >= least &&
-      !this.registry.health.isAway
+      !this.registry.health.isUnavailable
     ) {
       await this.reservations.fetchForLoan(budget, least);
     }
-    const lent = budget.account.debit(loanFor(budget.account, least, wish));
+    const lent = budget.account.debit(loanAmount(budget.account, least, wish));
     if (lent > 0) {
       this.journal.add({
         case: 'lent',
--- a/packages/gateway/src/grant-planner.ts
+++ b/packages/gateway/src/grant-planner.ts
@@ -51,10 +51,16 @@
       return;
     }
     const change = this.planChange(budget, view, now);
-    this.returnTokens(budget, change.giveBack);
-    const isRefillDue = change.wish > 0 && budget.refillPacing.mayRequest(now);
+    this.returnTokens(budget, change.returnTokens);
+    const isRefillDue =
+      change.requestTokens > 0 && budget.refillBackoff.mayRequest(now);
     if (isRefillDue || budget.hasUnreportedBudget || budget.isReportDue) {
-      this.requestGrant(budget, change.wish, change.least, false);
+      this.requestGrant(
+        budget,
+        change.requestTokens,
+        change.minimumTokens,
+        false,
+      );
     }
   }
 
@@ -81,7 +87,7 @@
     budget.isRequesting = false;
     const now = this.clock.monotonicMilliseconds();
     if (budget.requestedForWaiting === undefined) {
-      budget.refillPacing.recordVerdict(verdict.granted, now);
+      budget.refillBackoff.recordVerdict(verdict.granted, now);
     }
     budget.credit(verdict.granted);
     if (verdict.granted > 0 || budget.waiters.count === 0) {
@@ -109,11 +115,15 @@
     view: BudgetView | undefined,
     now: number,
   ): GrantChange {
-    const planned = this.sizing.change(account, view, prepaid, now);
+    const planned = this.sizing.planChange(account, view, prepaid, now);
     const surplus = this.isLeaving ? leavingSurplus(account, view) : undefined;
     return surplus === undefined
       ? planned
-      : {wish: 0, least: 0, giveBack: Math.max(surplus, planned.giveBack)};
+      : {
+          requestTokens: 0,
+          minimumTokens: 0,
+          returnTokens: Math.max(surplus, planned.returnTokens),
+        };
   }
 
   /**
--- a/packages/gateway/src/host-rotation.ts
+++ b/packages/gateway/src/host-rotation.ts
@@ -16,16 +16,16 @@
  * @example
  * ```ts
  * rotation.observe({isOverloaded: link.isOverloaded, connections});
- * response.statusCode = rotation.takesConnections ? 200 : 503;
- * rotation.probed(rotation.takesConnections);
+ * response.statusCode = rotation.acceptsConnections ? 200 : 503;
+ * rotation.recordProbe(rotation.acceptsConnections);
  * ```
  */
 export class HostRotation {
   constructor(private readonly parts: RotationParts) {}
 
   /** Whether the load balancer may send new connections. */
-  get takesConnections(): boolean {
-    return this.parts.policy.takesConnections;
+  get acceptsConnections(): boolean {
+    return this.parts.policy.acceptsConnections;
   }
 
   /** Name of the rotation state, for operators. */
@@ -34,13 +34,13 @@
   }
 
   /** Whether answers that start now close their connections. */
-  get endsConnections(): boolean {
-    return this.parts.policy.endsConnections;
+  get closesConnections(): boolean {
+    return this.parts.policy.closesConnections;
   }
 
   /** Records the answer to a readiness probe. */
-  probed(isReady: boolean): void {
-    this.parts.policy.probed(this.parts.now(), isReady);
+  recordProbe(isReady: boolean): void {
+    this.parts.policy.recordProbe(this.parts.now(), isReady);
   }
 
   /**
--- a/packages/gateway/src/keyed-follower.ts
+++ b/packages/gateway/src/keyed-follower.ts
@@ -76,7 +76,7 @@
     const requestedAt = this.clock.monotonicMilliseconds();
     if (this.position === undefined) {
       const newest = await this.log.newest(partition);
-      this.position = newest.resumeAt;
+      this.position = newest.resumeOffset;
       this.reader.replaced(newest.items);
       this.reader.caughtUp(requestedAt);
       return;
--- a/packages/gateway/src/link-monitor.ts
+++ b/packages/gateway/src/link-monitor.ts
@@ -95,7 +95,7 @@
   }
 
   override get isLate(): boolean {
-    return this.isCongested && !this.standingDelay.isPrompt(this.now());
+    return this.isCongested && !this.standingDelay.isUndelayed(this.now());
   }
 
   /**
@@ -119,25 +119,27 @@
     return this.delay.milliseconds(this.isCongested);
   }
 
-  override answerBytes(milliseconds: number): number {
-    return this.isCongested ? this.load.answerBytes(milliseconds) : Infinity;
+  override maximumAnswerBytes(milliseconds: number): number {
+    return this.isCongested
+      ? this.load.maximumAnswerBytes(milliseconds)
+      : Infinity;
   }
 
-  override connected(milliseconds: number): void {
-    this.standingDelay.arrived(this.now(), milliseconds);
+  override recordConnection(milliseconds: number): void {
+    this.standingDelay.recordArrival(this.now(), milliseconds);
   }
 
-  override arrived(milliseconds: number): void {
-    this.delay.arrived(milliseconds);
+  override recordArrival(milliseconds: number): void {
+    this.delay.recordArrival(milliseconds);
   }
 
   /**
    * Counts as link delay only while connects are late too: while they are prompt,
    * a missing answer shows nothing about the link.
    */
-  override expired(milliseconds: number): void {
+  override recordTimeout(milliseconds: number): void {
     if (this.isLate) {
-      this.delay.expired(milliseconds);
+      this.delay.recordTimeout(milliseconds);
     }
   }
 
--- a/packages/gateway/src/listening.ts
+++ b/packages/gateway/src/listening.ts
@@ -28,7 +28,7 @@
  *
  * @throws The system's error if the address can't be bound.
  */
-export function listening(
+export function listen(
   server: Server,
   {address, port}: ListenAddress,
 ): Promise<void> {
--- a/packages/gateway/src/load-report.ts
+++ b/packages/gateway/src/load-report.ts
@@ -1,6 +1,6 @@
 import type {EventLog} from '@wisteriadeal/runtime';
 
-import type {EventLoopReading} from './loop-watch.js';
+import type {EventLoopReading} from './event-loop-monitor.js';
 
 /**
  * Interval of log lines, each of which covers the time since the one before.
--- a/packages/gateway/src/loan-peers.ts
+++ b/packages/gateway/src/loan-peers.ts
@@ -7,7 +7,7 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {
   Fate,
-  FreeLink,
+  UncongestedLink,
   NetworkTimeout,
   StepError,
   type HostLink,
@@ -121,7 +121,7 @@
   private readonly peers = new Map<string, Peer>();
 
   /** @param link This host's link; timeouts are longer while it is congested. */
-  constructor(private readonly link: HostLink = new FreeLink()) {
+  constructor(private readonly link: HostLink = new UncongestedLink()) {
     super();
   }
 
--- a/packages/gateway/src/loan-server.ts
+++ b/packages/gateway/src/loan-server.ts
@@ -2,7 +2,7 @@
 import {GrantLoanService} from '@wisteriadeal/schema';
 import {createServer, type Server} from 'node:http';
 
-import {listening, portOf, type ListenAddress} from './listening.js';
+import {listen, portOf, type ListenAddress} from './listening.js';
 import type {LoanHolder} from './loan-peers.js';
 
 /**
@@ -39,7 +39,7 @@
       routes(request, response);
     });
     server.keepAliveTimeout = KEEP_ALIVE_MILLISECONDS;
-    await listening(server, at);
+    await listen(server, at);
     return new LoanServer(server, `${at.address}:${portOf(server)}`);
   }
 
--- a/packages/gateway/src/own-answer.ts
+++ b/packages/gateway/src/local-reply.ts
@@ -1,5 +1,5 @@
 /** Reason for a reply that the gateway generates itself. */
-export enum OwnReason {
+export enum LocalReplyReason {
   NoConfiguration = 'no-configuration',
   NoRoute = 'no-route',
   NoKey = 'no-key',
@@ -22,12 +22,12 @@
  * Retry delay given by a stopping host: the caller's next connection goes to
  * another host.
  */
-export const STOPPING_RETRY_MILLISECONDS = 100;
+export const STOPPING_RETRY_AFTER_MILLISECONDS = 100;
 
 /** A reply that the gateway generates itself. */
-export interface OwnAnswer {
+export interface LocalReply {
   readonly status: number;
-  readonly reason: OwnReason;
+  readonly reason: LocalReplyReason;
   /**
    * Set if the request has not run and never will: the delay after which to
    * retry.
@@ -40,14 +40,17 @@
  *
  * @param retryAfterMilliseconds Delay after which a retry may succeed.
  */
-export function notRun(
-  reason: OwnReason,
+export function notExecutedReply(
+  reason: LocalReplyReason,
   retryAfterMilliseconds: number,
-): OwnAnswer {
+): LocalReply {
   return {status: 503, reason, retryAfterMilliseconds};
 }
 
 /** A final reply that does not state whether the request has run. */
-export function failed(status: number, reason: OwnReason): OwnAnswer {
+export function failureReply(
+  status: number,
+  reason: LocalReplyReason,
+): LocalReply {
   return {status, reason, retryAfterMilliseconds: undefined};
 }
--- a/packages/gateway/src/organisation-budget.ts
+++ b/packages/gateway/src/organisation-budget.ts
@@ -1,7 +1,7 @@
 import {
   ChargePoint,
   GrantAccount,
-  RefillPacing,
+  RefillBackoff,
   type BudgetView,
   type Reservation,
 } from '@wisteriadeal/budgets';
@@ -56,7 +56,7 @@
    */
   requestedForWaiting: number | undefined;
   /** Limits how often refills are requested from the log. */
-  readonly refillPacing = new RefillPacing();
+  readonly refillBackoff = new RefillBackoff();
   isBorrowing = false;
   /** Number of loans whose answers this host's own link delays and that may arrive. */
   lateLoanCount = 0;
@@ -128,7 +128,7 @@
   tryReservePromised(bound: number): boolean {
     return (
       !this.waiters.hasWaiterBefore(TokenUse.Delivery) &&
-      this.account.keepPromise(bound)
+      this.account.reservePromised(bound)
     );
   }
 
@@ -154,7 +154,7 @@
   /** Ends a request; the unused part of its bound serves waiting requests. */
   settle({bound, chargePoint}: Reservation, used: number): void {
     if (chargePoint === ChargePoint.Delivery) {
-      this.account.dropPromise(bound);
+      this.account.cancelPromise(bound);
       return;
     }
     this.account.settle(bound, used);
@@ -239,7 +239,7 @@
 
   private reserveFor({bound, use}: TokenWaiter): boolean {
     return use === TokenUse.Delivery
-      ? this.account.keepPromise(bound)
+      ? this.account.reservePromised(bound)
       : this.account.reserve(bound, this.now());
   }
 
--- a/packages/gateway/src/request-budget.ts
+++ b/packages/gateway/src/request-budget.ts
@@ -2,7 +2,7 @@
 
 import type {
   DeliveryLimit,
-  TakenReservation,
+  ReservePromisedResult,
   TokenReservations,
 } from './token-reservations.js';
 
@@ -25,9 +25,12 @@
   async acquireTokens(
     limit: DeliveryLimit,
     now: () => number,
-  ): Promise<TakenReservation['refusal']> {
+  ): Promise<ReservePromisedResult['refusal']> {
     const startedAt = now();
-    const taken = await this.reservations.take(this.reservation, limit);
+    const taken = await this.reservations.reservePromised(
+      this.reservation,
+      limit,
+    );
     this.reservation = taken.reservation;
     this.waitedMilliseconds += now() - startedAt;
     return taken.refusal;
--- a/packages/gateway/src/request-completion.ts
+++ b/packages/gateway/src/request-completion.ts
@@ -1,6 +1,11 @@
 import type {Dialect} from './dialect.js';
 import type {AnswerHead} from './endpoint-exchange.js';
-import {failed, notRun, OwnReason, type OwnAnswer} from './own-answer.js';
+import {
+  failureReply,
+  notExecutedReply,
+  LocalReplyReason,
+  type LocalReply,
+} from './local-reply.js';
 import type {RequestContext} from './request-context.js';
 import type {RequestRecord} from './request-record.js';
 import {BudgetRefusal} from './token-waiters.js';
@@ -40,7 +45,7 @@
    * @param hasTimedOut Whether the caller's or the route's time limit has
    *     passed.
    */
-  giveUp(reason: OwnReason, hasTimedOut: boolean): void {
+  giveUp(reason: LocalReplyReason, hasTimedOut: boolean): void {
     const {caller} = this.context;
     if (caller.disconnectSignal.aborted) {
       this.record.outcome = 'caller-left';
@@ -60,20 +65,25 @@
    */
   refuseForBudget(refusal: BudgetRefusal, hasTimedOut: boolean): void {
     if (refusal === BudgetRefusal.Exhausted) {
-      this.sendLocalReply(failed(402, OwnReason.BudgetExhausted));
+      this.sendLocalReply(failureReply(402, LocalReplyReason.BudgetExhausted));
     } else {
-      this.giveUp(OwnReason.BudgetUnavailable, hasTimedOut);
+      this.giveUp(LocalReplyReason.BudgetUnavailable, hasTimedOut);
     }
   }
 
-  private localReply(reason: OwnReason, hasTimedOut: boolean): OwnAnswer {
+  private localReply(
+    reason: LocalReplyReason,
+    hasTimedOut: boolean,
+  ): LocalReply {
     if (!this.record.mayHaveRun) {
-      return notRun(reason, RETRY_AFTER_MILLISECONDS);
+      return notExecutedReply(reason, RETRY_AFTER_MILLISECONDS);
     }
-    return hasTimedOut ? failed(504, OwnReason.TimedOut) : failed(502, reason);
+    return hasTimedOut
+      ? failureReply(504, LocalReplyReason.TimedOut)
+      : failureReply(502, reason);
   }
 
-  private sendLocalReply(answer: OwnAnswer): void {
+  private sendLocalReply(answer: LocalReply): void {
     this.context.caller.sendLocalReply(answer);
     this.record.status = answer.status;
     this.record.outcome = `own: ${answer.reason}`;
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -18,12 +18,12 @@
 import type {GatewayMetrics} from './gateway-metrics.js';
 import type {LoadReport} from './load-report.js';
 import {
-  failed,
-  notRun,
-  OwnReason,
-  STOPPING_RETRY_MILLISECONDS,
-  type OwnAnswer,
-} from './own-answer.js';
+  failureReply,
+  notExecutedReply,
+  LocalReplyReason,
+  STOPPING_RETRY_AFTER_MILLISECONDS,
+  type LocalReply,
+} from './local-reply.js';
 import {RequestBudget} from './request-budget.js';
 import {maximumTokens, type RequestContext} from './request-context.js';
 import {RequestRecord, UndeliveredCharge} from './request-record.js';
@@ -169,7 +169,7 @@
     this.refuse(
       caller,
       record,
-      notRun(OwnReason.HostBehind, retryAfterMilliseconds),
+      notExecutedReply(LocalReplyReason.HostBehind, retryAfterMilliseconds),
     );
     this.metrics.requestEnded(record, this.ageOf(caller));
     load.requestRefused(caller.headers.attemptId);
@@ -178,18 +178,18 @@
   private async serve(
     caller: CallerExchange,
     record: RequestRecord,
-  ): Promise<OwnAnswer | undefined> {
+  ): Promise<LocalReply | undefined> {
     await this.gate.whenOpen();
     const configuration = this.configuration.current;
     if (configuration === undefined) {
-      return notRun(
-        OwnReason.NoConfiguration,
+      return notExecutedReply(
+        LocalReplyReason.NoConfiguration,
         CONFIGURATION_RETRY_AFTER_MILLISECONDS,
       );
     }
     if (caller.headerBytes > configuration.limits.headerBytes) {
       caller.disableKeepAlive();
-      return failed(431, OwnReason.HeadersTooLarge);
+      return failureReply(431, LocalReplyReason.HeadersTooLarge);
     }
     const body = await caller.readBody(configuration.limits.bodyBytes);
     await caller.waitForCloseDetection();
@@ -204,11 +204,17 @@
       return admitted;
     }
     if (!this.canEndBeforeStop(caller, admitted.route)) {
-      return notRun(OwnReason.Stopping, STOPPING_RETRY_MILLISECONDS);
+      return notExecutedReply(
+        LocalReplyReason.Stopping,
+        STOPPING_RETRY_AFTER_MILLISECONDS,
+      );
     }
     const context = this.contextOf(caller, body, inForce, admitted);
     return context === undefined
-      ? notRun(OwnReason.NoEndpoint, CONFIGURATION_RETRY_AFTER_MILLISECONDS)
+      ? notExecutedReply(
+          LocalReplyReason.NoEndpoint,
+          CONFIGURATION_RETRY_AFTER_MILLISECONDS,
+        )
       : this.runWithinBudget(context, record);
   }
 
@@ -218,13 +224,16 @@
    */
   private canEndBeforeStop(caller: CallerExchange, route: Route): boolean {
     const now = this.parts.clock.monotonicMilliseconds();
-    const longestMilliseconds = deadlineOf(caller, route) - now;
-    const likelyMilliseconds =
+    const maximumMilliseconds = deadlineOf(caller, route) - now;
+    const typicalMilliseconds =
       route.kind === RouteKind.Streaming
         ? TYPICAL_STREAM_START_MILLISECONDS +
           caller.headers.maximumOutputTokens * TYPICAL_TOKEN_MILLISECONDS
-        : longestMilliseconds;
-    return this.stop.admits(now, {likelyMilliseconds, longestMilliseconds});
+        : maximumMilliseconds;
+    return this.stop.admits(now, {
+      typicalMilliseconds,
+      maximumMilliseconds,
+    });
   }
 
   private contextOf(
@@ -240,7 +249,7 @@
     }
     const {resends, firstEventLatency, bufferedAnswerLatency} =
       this.services.stateOf(service.name);
-    resends.requested(this.parts.clock.monotonicMilliseconds());
+    resends.recordRequest(this.parts.clock.monotonicMilliseconds());
     return {
       caller,
       body,
@@ -258,7 +267,7 @@
   private async runWithinBudget(
     context: RequestContext,
     record: RequestRecord,
-  ): Promise<OwnAnswer | undefined> {
+  ): Promise<LocalReply | undefined> {
     const {caller, organisation} = context;
     const bound = maximumTokens(caller);
     record.organisation = organisation?.name;
@@ -284,7 +293,10 @@
         ...this.budgets.describe(organisation?.name ?? ''),
       });
       const now = this.parts.clock.monotonicMilliseconds();
-      return budgetAnswer(reserved.refusal, this.health.awayFor(now));
+      return budgetAnswer(
+        reserved.refusal,
+        this.health.unavailableMilliseconds(now),
+      );
     }
     const budget = new RequestBudget(
       this.budgets.reservations,
@@ -348,7 +360,7 @@
   private refuse(
     caller: CallerExchange,
     record: RequestRecord,
-    answer: OwnAnswer,
+    answer: LocalReply,
   ): void {
     caller.sendLocalReply(answer);
     record.status = answer.status;
@@ -366,7 +378,11 @@
     }
     if (error instanceof BodyTooLargeError) {
       caller.disableKeepAlive();
-      this.refuse(caller, record, failed(413, OwnReason.BodyTooLarge));
+      this.refuse(
+        caller,
+        record,
+        failureReply(413, LocalReplyReason.BodyTooLarge),
+      );
       return;
     }
     this.events.error('internal error in request', {
@@ -377,7 +393,7 @@
       caller.destroyConnection();
       return;
     }
-    this.refuse(caller, record, failed(500, OwnReason.Internal));
+    this.refuse(caller, record, failureReply(500, LocalReplyReason.Internal));
   }
 
   private ageOf(caller: CallerExchange): number {
@@ -436,16 +452,16 @@
 function admit(
   caller: CallerExchange,
   configuration: FleetConfiguration,
-): Admission | OwnAnswer {
+): Admission | LocalReply {
   const {host, key} = caller.headers;
   const route = findRoute(configuration, host, caller.path);
   if (route === undefined) {
-    return failed(404, OwnReason.NoRoute);
+    return failureReply(404, LocalReplyReason.NoRoute);
   }
   const organisation = configuration.organisationOfKey.get(key ?? '');
   const needsKey = configuration.organisations.length > 0 && !route.isPublic;
   if (needsKey && organisation === undefined) {
-    return failed(401, OwnReason.NoKey);
+    return failureReply(401, LocalReplyReason.NoKey);
   }
   return {route, organisation};
 }
--- a/packages/gateway/src/request-run.ts
+++ b/packages/gateway/src/request-run.ts
@@ -1,4 +1,4 @@
-import type {DataCenterTrust} from '@wisteriadeal/decisions';
+import type {DataCenterCircuitBreaker} from '@wisteriadeal/decisions';
 import {
   NetworkTimeout,
   type Clock,
@@ -22,12 +22,12 @@
   type AnswerHead,
   type ExchangeFailure,
 } from './endpoint-exchange.js';
-import {OwnReason} from './own-answer.js';
+import {LocalReplyReason} from './local-reply.js';
 import type {RequestBudget} from './request-budget.js';
 import {isRepeatable, type RequestContext} from './request-context.js';
 import {RequestCompletion} from './request-completion.js';
 import type {RequestRecord} from './request-record.js';
-import type {InactivityMonitor} from './silence-watch.js';
+import type {InactivityMonitor} from './inactivity-monitor.js';
 import {RelayResult, relayStream} from './stream-relay.js';
 import type {BudgetRefusal} from './token-waiters.js';
 
@@ -40,7 +40,7 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly dataCenter: string;
-  readonly dataCenters: DataCenterTrust;
+  readonly dataCenters: DataCenterCircuitBreaker;
   /** Number of hosts that share the resend budget. */
   hostCount(): number;
 }
@@ -141,11 +141,11 @@
       return NextStep.Ended;
     }
     if (this.hasTimedOut || this.remaining() < MINIMUM_ATTEMPT_MILLISECONDS) {
-      return this.giveUp(OwnReason.DeadlinePassed);
+      return this.giveUp(LocalReplyReason.DeadlinePassed);
     }
     const endpoint = this.chooser.choose(this.context, this.avoided);
     if (endpoint === undefined) {
-      return this.giveUp(OwnReason.NoEndpoint);
+      return this.giveUp(LocalReplyReason.NoEndpoint);
     }
     const exchange = this.dispatch(endpoint);
     const monitor = this.timeouts.startMonitor(
@@ -166,7 +166,7 @@
       monitor.close();
       this.timeouts.recordFirstByteTime(monitor);
       endpoint.load--;
-      this.parts.dataCenters.released(endpoint.entry.dataCenter);
+      this.parts.dataCenters.requestEnded(endpoint.entry.dataCenter);
       this.current = undefined;
     }
   }
@@ -194,7 +194,7 @@
   }
 
   private claimResend(): boolean {
-    return this.context.resends.take(this.parts.hostCount(), this.now());
+    return this.context.resends.tryTake(this.parts.hostCount(), this.now());
   }
 
   private dispatch(endpoint: KnownEndpoint): EndpointExchange {
@@ -208,13 +208,13 @@
       lastEventId: this.record.lastEventId ?? caller.headers.lastEventId,
     });
     endpoint.load++;
-    if (endpoint.trust.isOnTrial) {
+    if (endpoint.breaker.isTripped) {
       connections.closeIdle(endpoint.entry);
     } else if (!isRepeatable(this.context.route)) {
       connections.closeIdle(endpoint.entry, MAXIMUM_SAFE_IDLE_MILLISECONDS);
     }
-    endpoint.trust.sent();
-    this.parts.dataCenters.sent(endpoint.entry.dataCenter);
+    endpoint.breaker.requestSent();
+    this.parts.dataCenters.requestSent(endpoint.entry.dataCenter);
     this.avoided.add(endpoint.entry.id);
     this.record.endpoint = endpoint.entry.id;
     return new EndpointExchange(dialect, connections, endpoint.entry, {
@@ -246,8 +246,8 @@
       monitor.headReceived();
     }
     if (!isFailure(head) || hasRefused) {
-      endpoint.trust.spoke();
-      this.parts.dataCenters.spoke(endpoint.entry.dataCenter);
+      endpoint.breaker.recordResponse();
+      this.parts.dataCenters.recordResponse(endpoint.entry.dataCenter);
     }
   }
 
@@ -258,12 +258,12 @@
     const {kind, reason} = failure;
     this.recordAttempt(endpoint, `${kind}: ${reason}`);
     if (kind === FailureKind.NotRun) {
-      endpoint.trust.released();
-      return this.retryOrGiveUp(OwnReason.EndpointsRefused, true);
+      endpoint.breaker.requestEnded();
+      return this.retryOrGiveUp(LocalReplyReason.EndpointsRefused, true);
     }
     if (kind === FailureKind.WrongEndpoint) {
       this.parts.directory.remove(endpoint, reason);
-      return this.retryOrGiveUp(OwnReason.EndpointsRefused, true);
+      return this.retryOrGiveUp(LocalReplyReason.EndpointsRefused, true);
     }
     if (kind === FailureKind.NotSent) {
       return this.afterNotSent(endpoint, failure);
@@ -277,29 +277,29 @@
     {mayBeLinkDelay}: ExchangeFailure,
   ): NextStep {
     if (this.isAbandoned() || mayBeLinkDelay === true) {
-      endpoint.trust.released();
+      endpoint.breaker.requestEnded();
     } else {
       const {dataCenter, id} = endpoint.entry;
-      endpoint.trust.broke(this.now());
-      this.parts.dataCenters.fellSilent(dataCenter, id, this.now());
+      endpoint.breaker.recordConnectionFailure(this.now());
+      this.parts.dataCenters.recordSilence(dataCenter, id, this.now());
     }
     this.unreachableCount++;
     return this.unreachableCount < MAXIMUM_UNREACHABLE_ENDPOINTS &&
       !this.isAbandoned()
       ? NextStep.Retry
-      : this.giveUp(OwnReason.EndpointsUnreachable);
+      : this.giveUp(LocalReplyReason.EndpointsUnreachable);
   }
 
   /** Handles a request that reached the endpoint but got no complete answer. */
   private afterBroken(endpoint: KnownEndpoint): NextStep {
     if (this.isAbandoned()) {
-      endpoint.trust.released();
-      return this.giveUp(OwnReason.TimedOut);
+      endpoint.breaker.requestEnded();
+      return this.giveUp(LocalReplyReason.TimedOut);
     }
-    endpoint.trust.broke(this.now());
+    endpoint.breaker.recordConnectionFailure(this.now());
     return isRepeatable(this.context.route)
-      ? this.retryOrGiveUp(OwnReason.AnswerLost, false)
-      : this.giveUp(OwnReason.AnswerLost);
+      ? this.retryOrGiveUp(LocalReplyReason.AnswerLost, false)
+      : this.giveUp(LocalReplyReason.AnswerLost);
   }
 
   private async afterHead(
@@ -333,9 +333,9 @@
     }
     this.recordAttempt(endpoint, `answered ${head.status}`);
     if (head.status >= 500) {
-      endpoint.trust.answeredFailure();
+      endpoint.breaker.recordFailedAnswer();
     } else {
-      endpoint.trust.succeeded();
+      endpoint.breaker.recordSuccess();
     }
     const refusal = await this.acquireTokens();
     if (refusal !== undefined) {
@@ -348,8 +348,8 @@
       isRepeatable(this.context.route) &&
       !this.isAbandoned();
     return shouldRetry
-      ? this.retryOrGiveUp(OwnReason.AnswerLost, false)
-      : this.giveUp(OwnReason.AnswerLost);
+      ? this.retryOrGiveUp(LocalReplyReason.AnswerLost, false)
+      : this.giveUp(LocalReplyReason.AnswerLost);
   }
 
   private async relayEventStream(
@@ -363,7 +363,7 @@
     if (refusal !== undefined) {
       exchange.cancel('tokens refused');
       this.recordAttempt(endpoint, `tokens refused: ${refusal}`);
-      endpoint.trust.succeeded();
+      endpoint.breaker.recordSuccess();
       this.completion.refuseForBudget(refusal, this.hasTimedOut);
       return NextStep.Ended;
     }
@@ -384,7 +384,7 @@
     );
     if (result === RelayResult.Complete) {
       this.recordAttempt(endpoint, 'complete stream');
-      endpoint.trust.succeeded();
+      endpoint.breaker.recordSuccess();
       caller.endStream();
       this.record.outcome = 'answered';
       return NextStep.Ended;
@@ -392,7 +392,7 @@
     exchange.cancel('stream no longer relayed');
     this.recordAttempt(endpoint, `${result}: ${exchange.failureReason}`);
     if (result === RelayResult.CallerLeft) {
-      endpoint.trust.released();
+      endpoint.breaker.requestEnded();
       this.record.outcome = 'caller-left';
       return NextStep.Ended;
     }
@@ -417,7 +417,7 @@
    * Retries at another endpoint if the route, the fleet's resend budget and the
    * remaining time allow it.
    */
-  private retryOrGiveUp(reason: OwnReason, isNotRun: boolean): NextStep {
+  private retryOrGiveUp(reason: LocalReplyReason, isNotRun: boolean): NextStep {
     this.attemptCount++;
     const {route} = this.context;
     const hasClaimed = this.hasClaimedFailover;
@@ -431,7 +431,7 @@
     return mayResend ? NextStep.Retry : this.giveUp(reason);
   }
 
-  private giveUp(reason: OwnReason): NextStep {
+  private giveUp(reason: LocalReplyReason): NextStep {
     this.completion.giveUp(reason, this.hasTimedOut);
     return NextStep.Ended;
   }
--- a/packages/gateway/src/status-server.ts
+++ b/packages/gateway/src/status-server.ts
@@ -7,7 +7,7 @@
 } from 'node:http';
 
 import type {GatewayMetrics} from './gateway-metrics.js';
-import {listening, portOf, type ListenAddress} from './listening.js';
+import {listen, portOf, type ListenAddress} from './listening.js';
 
 /** The status that a process serves on its status addresses. */
 export abstract class GatewayStatus {
@@ -55,8 +55,8 @@
     readyAddress: ListenAddress,
     statusAddress: ListenAddress,
   ): Promise<void> {
-    await listening(this.readinessServer, readyAddress);
-    await listening(this.statusServer, statusAddress);
+    await listen(this.readinessServer, readyAddress);
+    await listen(this.statusServer, statusAddress);
   }
 
   /**
--- a/packages/gateway/src/store-health.ts
+++ b/packages/gateway/src/store-health.ts
@@ -56,7 +56,7 @@
   ) {}
 
   /** True while calls fail, until one is answered. */
-  get isAway(): boolean {
+  get isUnavailable(): boolean {
     return this.failingSince !== undefined;
   }
 
@@ -70,17 +70,17 @@
   }
 
   /** Milliseconds since the last outage ended; 0 during one, infinite before any. */
-  sinceOutage(now: number): number {
+  millisecondsSinceOutage(now: number): number {
     return this.hasOutage ? 0 : now - this.lastOutageEndedAt;
   }
 
   /** Milliseconds for which calls have failed; 0 while they are answered. */
-  awayFor(now: number): number {
+  unavailableMilliseconds(now: number): number {
     return this.failingSince === undefined ? 0 : now - this.failingSince;
   }
 
   /** Age of the newest answer, milliseconds; infinite before any. */
-  answerAge(now: number): number {
+  answerAgeMilliseconds(now: number): number {
     return this.lastAnswerAt === undefined ? Infinity : now - this.lastAnswerAt;
   }
 
@@ -102,7 +102,7 @@
    */
   isResponsive(now: number): boolean {
     return (
-      !this.isAway &&
+      !this.isUnavailable &&
       this.lastAnswerAt !== undefined &&
       this.waitedMilliseconds(now) < MAXIMUM_RESPONSIVE_MILLISECONDS
     );
@@ -117,7 +117,7 @@
    * @returns Milliseconds; 0 if the call is late or the store is unavailable.
    */
   millisecondsUntilLate(now: number): number {
-    if (this.isAway) {
+    if (this.isUnavailable) {
       return 0;
     }
     const limit = Math.min(
@@ -177,7 +177,7 @@
       this.loggedAt = now;
       this.events.warn('store still lost', {
         topic: this.topic,
-        unavailableMilliseconds: Math.round(this.awayFor(now)),
+        unavailableMilliseconds: Math.round(this.unavailableMilliseconds(now)),
         failures: this.failures,
         reason: String(error),
         isLinkDelay,
--- a/packages/gateway/src/stream-relay.ts
+++ b/packages/gateway/src/stream-relay.ts
@@ -5,7 +5,7 @@
   type StreamEvent,
 } from './event-stream-splitter.js';
 import type {RequestRecord} from './request-record.js';
-import type {InactivityMonitor} from './silence-watch.js';
+import type {InactivityMonitor} from './inactivity-monitor.js';
 
 /** How relaying one endpoint's part of a stream ended. */
 export enum RelayResult {
--- a/packages/gateway/src/test/bill-writer_test.ts
+++ b/packages/gateway/src/test/bill-writer_test.ts
@@ -57,7 +57,7 @@
       answered++;
       return offset;
     };
-    log.faults.answerAfterMilliseconds = 20;
+    log.faults.answerDelayMilliseconds = 20;
     add(1);
     const running = bills.run();
     await clock.advance(2_000);
@@ -69,10 +69,10 @@
 
   it('closes while the store is unavailable', async () => {
     // Guards against a host that waits for the end of an outage before it stops.
-    log.faults.isAway = true;
+    log.faults.isUnavailable = true;
     add(1);
     await bills.close();
-    log.faults.isAway = false;
+    log.faults.isUnavailable = false;
     expect(await written()).toEqual([]);
   });
 });
--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -127,7 +127,7 @@
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
     await waitUntil(() => available(stopping) > 0 && available(staying) > 0);
-    fleet.log.faults.isAway = true;
+    fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
@@ -146,7 +146,7 @@
     const stopping = await fleet.start('one');
     const staying = await fleet.start('two');
     await waitUntil(() => available(stopping) > 0);
-    fleet.log.faults.isAway = true;
+    fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
@@ -154,7 +154,7 @@
     );
     await stopping.close();
     fleet.kill('one');
-    fleet.log.faults.isAway = false;
+    fleet.log.faults.isUnavailable = false;
     const successor = await fleet.start('one');
     let spent = 0;
     for (const holder of [staying, successor, staying, successor]) {
@@ -173,9 +173,9 @@
     const holder = await fleet.start('one');
     await fleet.start('two');
     await waitUntil(() => available(holder) > 0);
-    fleet.log.faults.answerAfterMilliseconds = 150;
+    fleet.log.faults.answerDelayMilliseconds = 150;
     expect(await spend(holder, 40_000)).toBe(true);
-    fleet.log.faults.answerAfterMilliseconds = 1_000;
+    fleet.log.faults.answerDelayMilliseconds = 1_000;
     expect(
       await holder.reservations.reserve(SCHOOL, tokenRequest(30_000, false)),
     ).toEqual({
@@ -193,9 +193,9 @@
       await withFakeTimers(fleet.start('two'));
       await withFakeTimers(waitUntil(() => available(holder) > 0));
       await vi.advanceTimersByTimeAsync(offsetMilliseconds);
-      fleet.log.faults.answerAfterMilliseconds = 150;
+      fleet.log.faults.answerDelayMilliseconds = 150;
       expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
-      fleet.log.faults.answerAfterMilliseconds = 1_000;
+      fleet.log.faults.answerDelayMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
         tokenRequest(LARGE_REQUEST, false),
@@ -221,7 +221,7 @@
         );
       await withFakeTimers(waitUntil(haveUsualGrants));
       await vi.advanceTimersByTimeAsync(offsetMilliseconds);
-      fleet.log.faults.answerAfterMilliseconds = 150;
+      fleet.log.faults.answerDelayMilliseconds = 150;
       expect(await withFakeTimers(spend(holder, 40_000))).toBe(true);
       // A lender that reaches the store requests tokens there. They come too late for the
       // borrower, and the lender returns them.
@@ -230,7 +230,7 @@
           () => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST,
         ),
       );
-      fleet.log.faults.answerAfterMilliseconds = 1_000;
+      fleet.log.faults.answerDelayMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
         tokenRequest(LARGE_REQUEST, false),
@@ -248,11 +248,11 @@
       vi.useFakeTimers();
       const holder = await withFakeTimers(fleet.start('one'));
       await withFakeTimers(fleet.start('two'));
-      await withFakeTimers(waitUntil(() => holder.holders === 2));
+      await withFakeTimers(waitUntil(() => holder.holderCount === 2));
       await withFakeTimers(waitUntil(() => available(holder) > 0));
       await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
       const reading = vi.spyOn(fleet.log, 'read');
-      fleet.log.faults.answerAfterMilliseconds = 200;
+      fleet.log.faults.answerDelayMilliseconds = 200;
       await withFakeTimers(waitUntil(() => reading.mock.calls.length === 2));
       await vi.advanceTimersByTimeAsync(elapsedMilliseconds);
       expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
@@ -268,7 +268,7 @@
       holder = await withFakeTimers(fleet.start('one'));
       await withFakeTimers(waitUntil(() => available(holder) > 0));
       fleet.link.delayMilliseconds = DELAY_MILLISECONDS;
-      fleet.log.faults.answerAfterMilliseconds = DELAY_MILLISECONDS;
+      fleet.log.faults.answerDelayMilliseconds = DELAY_MILLISECONDS;
     });
 
     it('waits for a grant during the link delay', async () => {
@@ -322,7 +322,7 @@
     it('refuses while the caller has time to try another host', async () => {
       // Guards against requests that wait for tokens until their deadline.
       fleet.link.delayMilliseconds = 5_000;
-      fleet.log.faults.answerAfterMilliseconds = 5_000;
+      fleet.log.faults.answerDelayMilliseconds = 5_000;
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
         ...tokenRequest(LARGE_REQUEST, false),
@@ -394,7 +394,7 @@
     }
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     fleet.link.delayMilliseconds = 300;
-    fleet.log.faults.answerAfterMilliseconds = 300;
+    fleet.log.faults.answerDelayMilliseconds = 300;
     const waiting = Array.from({length: 20}, () => spend(holder, 2_000));
     expect(unallocated(holder)).toBeGreaterThan(20 * 2_000);
     const served = await withFakeTimers(Promise.all(waiting));
@@ -437,7 +437,7 @@
     // Guards against refusals and waits for loans although the log has the tokens.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0.05 * PREPAID);
-    fleet.log.faults.answerAfterMilliseconds = 40;
+    fleet.log.faults.answerDelayMilliseconds = 40;
     fleet.changeBudget(PREPAID + 1);
     await new Promise(resolve => setTimeout(resolve, 10));
     expect(await spend(holder, available(holder) + 20_000)).toBe(true);
@@ -482,8 +482,8 @@
       }
       await waitUntil(() => available(lender) > 2 * REQUEST);
       // A holder learns of the others only from the log.
-      await waitUntil(() => borrower.holders === 2);
-      fleet.log.faults.isAway = true;
+      await waitUntil(() => borrower.holderCount === 2);
+      fleet.log.faults.isUnavailable = true;
       await waitUntil(() =>
         fleet.events.some(
           ({event, host}) => event === 'store lost' && host === 'one',
@@ -494,7 +494,7 @@
       expect(await spend(borrower, available(borrower) + REQUEST)).toBe(false);
       const lost = before - available(borrower) - available(lender);
       expect(lost).toBeGreaterThan(REQUEST);
-      fleet.log.faults.isAway = false;
+      fleet.log.faults.isUnavailable = false;
       await waitUntil(() =>
         fleet.events.some(
           ({event}) => event === 'lost loan recovered from the log',
@@ -519,8 +519,8 @@
       expect(await spend(lender, REQUEST)).toBe(true);
     }
     await waitUntil(() => available(lender) > 2 * REQUEST);
-    await waitUntil(() => borrower.holders === 2);
-    fleet.log.faults.isAway = true;
+    await waitUntil(() => borrower.holderCount === 2);
+    fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
         ({event, host}) => event === 'store lost' && host === 'one',
@@ -535,7 +535,7 @@
     expect(await spend(borrower, another)).toBe(true);
     fleet.faults.answerDelayMilliseconds = 0;
     fleet.link.delayMilliseconds = 0;
-    fleet.log.faults.isAway = false;
+    fleet.log.faults.isUnavailable = false;
     await waitUntil(() =>
       ['one', 'two'].every(host =>
         fleet.events.some(
@@ -596,7 +596,10 @@
     );
     expect('reservation' in begun).toBe(true);
     if ('reservation' in begun) {
-      const result = await holder.reservations.take(begun.reservation, WAIT);
+      const result = await holder.reservations.reservePromised(
+        begun.reservation,
+        WAIT,
+      );
       expect(result.refusal).toBeUndefined();
       holder.reservations.settle(result.reservation, bound);
       expect(holder.describe(SCHOOL)).toMatchObject({
@@ -618,7 +621,7 @@
       SCHOOL,
       tokenRequest(bound, true),
     );
-    fleet.log.faults.isAway = true;
+    fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(({event}) => event === 'store lost'),
     );
@@ -628,8 +631,11 @@
       refusal: BudgetRefusal.StoreUnavailable,
     });
     if ('reservation' in begun) {
-      const result = holder.reservations.take(begun.reservation, WAIT);
-      fleet.log.faults.isAway = false;
+      const result = holder.reservations.reservePromised(
+        begun.reservation,
+        WAIT,
+      );
+      fleet.log.faults.isUnavailable = false;
       expect((await result).refusal).toBeUndefined();
     }
     expect(holder.describe(SCHOOL)).toMatchObject({reserved: bound});
@@ -644,10 +650,10 @@
       SCHOOL,
       tokenRequest(available(holder) + 20_000, true),
     );
-    fleet.log.faults.isAway = true;
+    fleet.log.faults.isUnavailable = true;
     const leaving = new AbortController();
     if ('reservation' in begun) {
-      const result = holder.reservations.take(begun.reservation, {
+      const result = holder.reservations.reservePromised(begun.reservation, {
         ...WAIT,
         signal: leaving.signal,
       });
@@ -670,7 +676,10 @@
     );
     const left = {...WAIT, signal: AbortSignal.abort()};
     if ('reservation' in begun) {
-      const result = await holder.reservations.take(begun.reservation, left);
+      const result = await holder.reservations.reservePromised(
+        begun.reservation,
+        left,
+      );
       expect(result.refusal).toBeDefined();
       holder.reservations.settle(result.reservation, 0);
     }
--- a/packages/gateway/src/test/caller-listener_test.ts
+++ b/packages/gateway/src/test/caller-listener_test.ts
@@ -3,15 +3,15 @@
 import {Worker} from 'node:worker_threads';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {CallerDoor} from '../caller-listener.js';
+import {CallerListener} from '../caller-listener.js';
 
 const MAXIMUM_CALL_MILLISECONDS = 10_000;
 const ANY_PORT = {address: '127.0.0.1', port: 0};
 
-let listener: CallerDoor;
+let listener: CallerListener;
 
 beforeEach(() => {
-  listener = new CallerDoor(() => performance.now());
+  listener = new CallerListener(() => performance.now());
 });
 
 afterEach(() => {
--- a/packages/gateway/src/test/loop-watch_test.ts
+++ b/packages/gateway/src/test/event-loop-monitor_test.ts
@@ -3,7 +3,7 @@
 import {connect, type AddressInfo} from 'node:net';
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {EventLoopMonitor} from '../loop-watch.js';
+import {EventLoopMonitor} from '../event-loop-monitor.js';
 
 const REQUEST = 'GET / HTTP/1.1\r\nHost: shop.example\r\n\r\n';
 
--- a/packages/gateway/src/test/plain-message-reader_test.ts
+++ b/packages/gateway/src/test/fast-message-decoder_test.ts
@@ -18,7 +18,7 @@
 import {expect, it} from 'vitest';
 
 import {decodeRecord} from '../budget-codec.js';
-import {PlainMessageReader} from '../plain-message-reader.js';
+import {FastMessageDecoder} from '../fast-message-decoder.js';
 
 const RUNS = {numRuns: 500};
 
@@ -86,11 +86,11 @@
 }
 
 it('decodes encoded records like the library', () => {
-  const reader = new PlainMessageReader(BudgetRecordSchema);
+  const reader = new FastMessageDecoder(BudgetRecordSchema);
   assert(
     property(records, sent => {
       const bytes = toBinary(BudgetRecordSchema, sent);
-      expect(reader.read(bytes)).toStrictEqual(byLibrary(bytes));
+      expect(reader.decode(bytes)).toStrictEqual(byLibrary(bytes));
     }),
     RUNS,
   );
--- a/packages/gateway/src/test/holder-fleet.ts
+++ b/packages/gateway/src/test/holder-fleet.ts
@@ -210,7 +210,7 @@
     await waitUntil(() => {
       const now = this.clock.monotonicMilliseconds();
       return this.storeHealths.every(
-        health => now - health.answerAge(now) >= since,
+        health => now - health.answerAgeMilliseconds(now) >= since,
       );
     });
   }
--- a/packages/gateway/src/test/host-rotation_test.ts
+++ b/packages/gateway/src/test/host-rotation_test.ts
@@ -31,14 +31,14 @@
     // Guards against callers that reconnect to the overloaded host because the
     // load balancer still has it in rotation.
     observe(true);
-    expect(rotation.takesConnections).toBe(false);
-    rotation.probed(false);
+    expect(rotation.acceptsConnections).toBe(false);
+    rotation.recordProbe(false);
     now += 1_000;
     observe(true);
-    expect(rotation.endsConnections).toBe(false);
-    rotation.probed(false);
+    expect(rotation.closesConnections).toBe(false);
+    rotation.recordProbe(false);
     observe(true);
-    expect(rotation.endsConnections).toBe(true);
+    expect(rotation.closesConnections).toBe(true);
   });
 
   it('logs each change of state once', () => {
--- a/packages/gateway/src/test/silence-watch_test.ts
+++ b/packages/gateway/src/test/inactivity-monitor_test.ts
@@ -1,7 +1,7 @@
 import {SystemClock} from '@wisteriadeal/runtime';
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
-import {InactivityMonitor} from '../silence-watch.js';
+import {InactivityMonitor} from '../inactivity-monitor.js';
 
 const LIMITS = {
   suspectMilliseconds: 100,
--- a/packages/gateway/src/test/large-fleet_test.ts
+++ b/packages/gateway/src/test/large-fleet_test.ts
@@ -43,7 +43,7 @@
   if ('refusal' in begun) {
     return false;
   }
-  const result = await reservations.take(begun.reservation, WAIT);
+  const result = await reservations.reservePromised(begun.reservation, WAIT);
   const isServed = result.refusal === undefined;
   reservations.settle(result.reservation, isServed ? USED : 0);
   return isServed;
@@ -83,7 +83,7 @@
       for (let host = 0; host < HOSTS; host++) {
         holders.push(await fleet.start(`host-${host}`));
       }
-      fleet.log.faults.answerAfterMilliseconds = ANSWER_MILLISECONDS;
+      fleet.log.faults.answerDelayMilliseconds = ANSWER_MILLISECONDS;
       const settledAt = performance.now() + SETTLE_MILLISECONDS;
       await sleep(SETTLE_MILLISECONDS);
       await fleet.waitForAnswers(settledAt);
--- a/packages/gateway/src/test/service-states_test.ts
+++ b/packages/gateway/src/test/service-states_test.ts
@@ -2,7 +2,11 @@
 
 import {ServiceStates} from '../service-states.js';
 
-const LIMITS = {ratio: 0, extra: 2, windowMilliseconds: 10_000};
+const LIMITS = {
+  resendsPerRequest: 0,
+  extraResends: 2,
+  windowMilliseconds: 10_000,
+};
 
 describe('ServiceStates', () => {
   it('keeps latency estimates when the limits on resends change', () => {
@@ -11,8 +15,8 @@
     // as they do not depend on settings.
     const states = new ServiceStates(LIMITS);
     const {firstEventLatency} = states.stateOf('models');
-    states.setResendLimits({...LIMITS, extra: 0});
+    states.setResendLimits({...LIMITS, extraResends: 0});
     expect(states.stateOf('models').firstEventLatency).toBe(firstEventLatency);
-    expect(states.stateOf('models').resends.take(1, 0)).toBe(false);
+    expect(states.stateOf('models').resends.tryTake(1, 0)).toBe(false);
   });
 });
--- a/packages/gateway/src/test/store-health_test.ts
+++ b/packages/gateway/src/test/store-health_test.ts
@@ -1,4 +1,4 @@
-import {HttpCaller} from '@wisteriadeal/platform';
+import {HttpClient} from '@wisteriadeal/platform';
 import {EventLog} from '@wisteriadeal/runtime';
 import {LogLevel} from '@wisteriadeal/schema';
 import {FakeHostLink} from '@wisteriadeal/stand-ins';
@@ -15,7 +15,7 @@
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const {port} = server.address() as AddressInfo;
-  const caller = new HttpCaller('127.0.0.1', port, 'store');
+  const caller = new HttpClient('127.0.0.1', port, 'store');
   const timeouts = {connect: 1_000, total: 20};
   const call = {step: 'read', method: 'GET', path: '/', headers: {}, timeouts};
   try {
--- a/packages/gateway/src/token-reservations.ts
+++ b/packages/gateway/src/token-reservations.ts
@@ -1,6 +1,6 @@
 import {
   ChargePoint,
-  chargePoint,
+  chooseChargePoint,
   type Reservation,
 } from '@wisteriadeal/budgets';
 import {NetworkTimeout} from '@wisteriadeal/platform';
@@ -33,7 +33,7 @@
 }
 
 /** Result of reserving promised tokens for a ready answer. */
-export interface TakenReservation {
+export interface ReservePromisedResult {
   readonly reservation: Reservation;
   /** Undefined if the answer may be sent to the caller. */
   readonly refusal: BudgetRefusal | undefined;
@@ -79,7 +79,12 @@
     const view = this.registry.view(organisation);
     const now = this.registry.now();
     const isLogResponsive = this.registry.health.isResponsive(now);
-    const point = chargePoint(budget.account, view, bound, isLogResponsive);
+    const point = chooseChargePoint(
+      budget.account,
+      view,
+      bound,
+      isLogResponsive,
+    );
     if (mayPromise && point === ChargePoint.Delivery) {
       return {reservation: budget.promise(bound)};
     }
@@ -104,10 +109,10 @@
    *
    * @returns The resulting reservation, and the reason if its tokens are not reserved.
    */
-  async take(
+  async reservePromised(
     reservation: Reservation,
     limit: DeliveryLimit,
-  ): Promise<TakenReservation> {
+  ): Promise<ReservePromisedResult> {
     const {organisation, bound} = reservation;
     const budget = this.registry.get(organisation);
     if (
--- a/packages/keeper/src/book-replicator.ts
+++ b/packages/keeper/src/book-replicator.ts
@@ -65,7 +65,7 @@
     let answer = await link.send(change);
     if (answer === Acknowledgement.UnknownGrant) {
       // The full book includes the change.
-      answer = await link.send(holding.book.opened());
+      answer = await link.send(holding.book.createOpenedChange());
     }
     holding.recordAcknowledgement(witness, answer);
     return answer === Acknowledgement.UnknownGrant
--- a/packages/keeper/src/fold-listener.ts
+++ b/packages/keeper/src/fold-listener.ts
@@ -36,12 +36,12 @@
         return;
       case 'return':
         if (kind.value.closes) {
-          this.witnessBook.forget(kind.value.grantId);
+          this.witnessBook.removeGrant(kind.value.grantId);
         }
         return;
       case 'strandedRelease':
         this.markClosed(this.grants.holding(organisation, kind.value.grantId));
-        this.witnessBook.forget(kind.value.grantId);
+        this.witnessBook.removeGrant(kind.value.grantId);
         return;
       default:
         return;
@@ -61,12 +61,12 @@
   ): void {
     const holding = this.grants.holding(organisation, bill.grantId);
     if (kind === VerdictKind.Accepted) {
-      this.witnessBook.billFolded(bill.grantId, bill.requestId);
+      this.witnessBook.removeFoldedBill(bill.grantId, bill.requestId);
       if (holding !== undefined) {
         // Another process may have billed the request, for example after its
         // router connected to another keeper. The book follows the log.
         holding.book.settle(bill);
-        holding.book.billFolded(bill.requestId);
+        holding.book.removeFoldedBill(bill.requestId);
       }
       const request = this.registry.get(bill.requestId);
       if (request?.grantId === bill.grantId) {
@@ -88,11 +88,11 @@
     bill: Bill,
     kind: VerdictKind,
   ): void {
-    this.witnessBook.billFolded(bill.grantId, bill.requestId);
+    this.witnessBook.removeFoldedBill(bill.grantId, bill.requestId);
     if (kind === VerdictKind.Duplicate) {
-      holding?.book.billIgnored(bill.requestId);
+      holding?.book.refundDuplicateBill(bill.requestId);
     } else {
-      holding?.book.billFolded(bill.requestId);
+      holding?.book.removeFoldedBill(bill.requestId);
       this.eventLog.error('bill refused', {
         request: bill.requestId,
         grant: bill.grantId,
@@ -105,8 +105,8 @@
     const {fromGrant, transferId, toHolder} = transfer;
     this.grants
       .holding(organisation, fromGrant)
-      ?.book.transferFolded(transferId);
-    this.witnessBook.transferFolded(fromGrant, transferId);
+      ?.book.removeFoldedTransfer(transferId);
+    this.witnessBook.removeFoldedTransfer(fromGrant, transferId);
     if (toHolder === this.self) {
       // The answer of the sending holder may have been lost; the log entry is
       // sufficient to accept the tokens.
@@ -118,15 +118,15 @@
     const holding = this.grants.holding(organisation, reclaim.grantId);
     this.markClosed(holding);
     reclaim.settled.forEach(bill => {
-      holding?.book.billFolded(bill.requestId);
+      holding?.book.removeFoldedBill(bill.requestId);
     });
     reclaim.transfers.forEach(transfer => {
-      holding?.book.transferFolded(transfer.transferId);
+      holding?.book.removeFoldedTransfer(transfer.transferId);
     });
     if (reclaim.witness === this.self) {
       this.adoptRequests(organisation, reclaim.grantId);
     }
-    this.witnessBook.forget(reclaim.grantId);
+    this.witnessBook.removeGrant(reclaim.grantId);
   }
 
   private adoptRequests(organisation: string, grantId: string): void {
--- a/packages/keeper/src/grant-holding.ts
+++ b/packages/keeper/src/grant-holding.ts
@@ -1,4 +1,4 @@
-import {HolderBook, type GrantOpening} from '@wisteriadeal/ledger';
+import {HolderBook, type GrantTerms} from '@wisteriadeal/ledger';
 
 import {Acknowledgement} from './witness-link.js';
 
@@ -15,14 +15,14 @@
 
   /** @param witness The witness in force on the log; empty if there is none. */
   constructor(
-    opening: GrantOpening,
+    opening: GrantTerms,
     public witness: string,
   ) {
     this.book = new HolderBook(opening);
   }
 
   get grantId(): string {
-    return this.book.opening.grantId;
+    return this.book.grant.grantId;
   }
 
   /** Tokens that can be reserved now; 0 while the grant is closed or fenced. */
--- a/packages/keeper/src/grant-maintainer.ts
+++ b/packages/keeper/src/grant-maintainer.ts
@@ -86,7 +86,7 @@
     }
     this.recheckingFence.add(grantId);
     void this.dependencies.replicator
-      .commit(holding, holding.book.opened())
+      .commit(holding, holding.book.createOpenedChange())
       .finally(() => {
         this.recheckingFence.delete(grantId);
       });
@@ -108,7 +108,8 @@
       const answer =
         (await this.dependencies.links
           .linkTo(candidate)
-          ?.send(holding.book.opened())) ?? Acknowledgement.Unconfirmed;
+          ?.send(holding.book.createOpenedChange())) ??
+        Acknowledgement.Unconfirmed;
       holding.recordAcknowledgement(candidate, answer);
       if (answer !== Acknowledgement.Applied) {
         holding.candidate = undefined;
--- a/packages/keeper/src/grant-manager.ts
+++ b/packages/keeper/src/grant-manager.ts
@@ -101,7 +101,7 @@
   review(organisation: string): void {
     const grants = this.forOrganisation(organisation);
     const decision = this.dependencies.policy.decide(this.policyInput(grants));
-    if (decision.askTokens > 0 && grants.requestedTokens === 0) {
+    if (decision.grantRequestTokens > 0 && grants.requestedTokens === 0) {
       this.requestAtInterval(grants, decision);
     } else if (decision.returnTokens > 0) {
       this.returnAtInterval(grants, decision.returnTokens);
@@ -124,7 +124,7 @@
     const ledger = dependencies.replicas.ledgerOf(organisation);
     const totals = ledger.totals(organisation);
     return {
-      holdsMost:
+      isLargestHolder:
         largestHolder(ledger.grants(organisation)) ===
         dependencies.membership.self.incarnation,
       spendableTokens: grants.spendableTokens,
@@ -210,7 +210,10 @@
     // Queued before any reservation on the same stream, so the witness has the
     // book when the first reservation arrives. An unreachable witness gets the
     // book when its stream is opened again.
-    void this.dependencies.replicator.commit(holding, holding.book.opened());
+    void this.dependencies.replicator.commit(
+      holding,
+      holding.book.createOpenedChange(),
+    );
     return holding;
   }
 
@@ -233,7 +236,7 @@
       );
       void this.requestGrant(
         grants,
-        decision.askTokens,
+        decision.grantRequestTokens,
         decision.minimumTokens,
       );
     }
@@ -258,7 +261,7 @@
       .sort((one, other) => one.spendableTokens - other.spendableTokens);
     for (const holding of holdings) {
       const returned = Math.min(remaining, holding.spendableTokens);
-      if (returned > 0 && holding.book.giveBack(returned) !== undefined) {
+      if (returned > 0 && holding.book.returnTokens(returned) !== undefined) {
         remaining -= returned;
         void this.submitReturn(holding, returned, false);
       }
@@ -273,12 +276,12 @@
     holding.isReturning = true;
     holding.book.stopReserving();
     const unspent = holding.book.freeTokens;
-    if (holding.book.giveBack(unspent) === undefined) {
+    if (holding.book.returnTokens(unspent) === undefined) {
       holding.isReturning = false;
       return;
     }
     await this.submitReturn(holding, unspent, true);
-    const {organisation} = holding.book.opening;
+    const {organisation} = holding.book.grant;
     this.organisations.get(organisation)?.holdings.delete(holding.grantId);
   }
 
@@ -287,7 +290,7 @@
     tokens: number,
     closes: boolean,
   ): Promise<void> {
-    const {organisation} = holding.book.opening;
+    const {organisation} = holding.book.grant;
     const {verdict} = await this.dependencies.appender.submit(
       ledgerEntry(
         `return:${holding.grantId}:${this.dependencies.random.identifier()}`,
@@ -310,7 +313,7 @@
         .filter(
           holding => !holding.isClosed && holding.witnesses.includes(witness),
         )
-        .map(holding => holding.book.opened()),
+        .map(holding => holding.book.createOpenedChange()),
     );
   }
 }
--- a/packages/keeper/src/keeper-inspection.ts
+++ b/packages/keeper/src/keeper-inspection.ts
@@ -59,7 +59,7 @@
         .map(router => router.identity?.incarnation ?? ''),
       grants: this.heldGrants().slice(0, maximumItems),
       witnessed: this.witnessBook
-        .view()
+        .listGrants()
         .slice(0, maximumItems)
         .map(grant => ({
           grant: grant.grantId,
--- a/packages/keeper/src/organisation-grants.ts
+++ b/packages/keeper/src/organisation-grants.ts
@@ -69,7 +69,7 @@
    */
   private get remainingTokens(): number {
     const unbilled = [...this.holdings.values()]
-      .flatMap(({book}) => book.unfoldedBills)
+      .flatMap(({book}) => book.pendingBills)
       .reduce((sum, bill) => sum + bill.tokens, 0);
     return (this.loggedRemainingTokens() ?? Infinity) - unbilled;
   }
--- a/packages/keeper/src/reclaimer.ts
+++ b/packages/keeper/src/reclaimer.ts
@@ -83,7 +83,7 @@
         .submit(billEntry(organisation, bill))
         .then(({verdict}) => {
           this.pendingBills.delete(requestId);
-          this.witnessBook.billFolded(grantId, requestId);
+          this.witnessBook.removeFoldedBill(grantId, requestId);
           this.eventLog.info('holder lost: bill submitted', {
             organisation,
             grant: grantId,
@@ -151,7 +151,7 @@
    */
   private handleReclaimVerdict(grantId: string, {reason}: EntryVerdict): void {
     if (reason === RefusalReason.NotWitness) {
-      this.witnessBook.liftFence(grantId);
+      this.witnessBook.unfence(grantId);
       this.reclaiming.delete(grantId);
     }
   }
--- a/packages/keeper/src/request-service.ts
+++ b/packages/keeper/src/request-service.ts
@@ -81,7 +81,7 @@
     }
     request.attempt = message.attempt;
     const holding = this.grants.holding(request.organisation, request.grantId);
-    const change = holding?.book.dispatching(
+    const change = holding?.book.recordDispatch(
       request.requestId,
       message.attempt,
     );
@@ -175,7 +175,7 @@
     known.router = router;
     this.registry.enterPhase(known, RequestPhase.Running);
     const holding = this.grants.holding(known.organisation, known.grantId);
-    const change = holding?.book.reassign(known.requestId, router);
+    const change = holding?.book.reassignRouter(known.requestId, router);
     if (holding !== undefined && change !== undefined) {
       void this.replicator.commit(holding, change);
     }
--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -48,7 +48,7 @@
   await waitUntil(() => membership.identityOf(incarnation) !== undefined);
   for (const holding of grants.forOrganisation('org').holdings.values()) {
     holding.candidate = incarnation;
-    await links.linkTo(incarnation)?.send(holding.book.opened());
+    await links.linkTo(incarnation)?.send(holding.book.createOpenedChange());
   }
 }
 
@@ -219,9 +219,9 @@
   it('bills once when answers of the log are lost', async () => {
     await fleet.add('a');
     await fleet.add('a');
-    fleet.store.faults.loseAnswers = 3;
+    fleet.store.faults.answersToLose = 3;
     const router = fleet.router(await fleet.holder('a'));
-    fleet.store.faults.loseAnswers = 2;
+    fleet.store.faults.answersToLose = 2;
     for (const id of ['r1', 'r2', 'r3']) {
       await router.settle(await router.begin(id, 100), 10);
     }
@@ -267,7 +267,7 @@
     await fleet.holder('b');
     const log = fleet.logs[1];
     if (log !== undefined) {
-      log.cutOff = true;
+      log.isDisconnected = true;
     }
     appendEntry(fleet, [
       {
@@ -363,7 +363,7 @@
       ...holder.parts.grants.forOrganisation('org').holdings.keys(),
     ];
     forgotten.forEach(id => {
-      witness.parts.witnessBook.forget(id);
+      witness.parts.witnessBook.removeGrant(id);
     });
     const answer = await router.begin('r2', 100);
     expect(forgotten).toContain(answer.grantId);
--- a/packages/ledger/src/grant-policy.ts
+++ b/packages/ledger/src/grant-policy.ts
@@ -27,7 +27,7 @@
    * Whether this holder has the most tokens of all. It keeps the remaining
    * tokens when the budget is nearly spent.
    */
-  readonly holdsMost: boolean;
+  readonly isLargestHolder: boolean;
   /**
    * Number of holders that can serve the organisation: one for each live data
    * centre.
@@ -52,7 +52,7 @@
  */
 export interface GrantDecision {
   /** Size of the grant to request. */
-  readonly askTokens: number;
+  readonly grantRequestTokens: number;
   /**
    * Smallest grant to accept; the fold refuses the request if fewer tokens are
    * left.
@@ -63,7 +63,7 @@
 }
 
 const NO_CHANGE: GrantDecision = {
-  askTokens: 0,
+  grantRequestTokens: 0,
   minimumTokens: 0,
   returnTokens: 0,
 };
@@ -77,7 +77,7 @@
   /**
    * @example
    * ```ts
-   * const {askTokens} = policy.decide(input);
+   * const {grantRequestTokens} = policy.decide(input);
    * ```
    */
   abstract decide(input: GrantPolicyInput): GrantDecision;
@@ -90,8 +90,8 @@
       return NO_CHANGE;
     }
     const share = Math.floor(input.creditedTokens / input.holders);
-    const askTokens = Math.min(share, input.unallocatedTokens);
-    return {askTokens, minimumTokens: 1, returnTokens: 0};
+    const grantRequestTokens = Math.min(share, input.unallocatedTokens);
+    return {grantRequestTokens, minimumTokens: 1, returnTokens: 0};
   }
 }
 
@@ -178,7 +178,7 @@
         ? waitingBoundTokens
         : this.targetTokens(input);
       return {
-        askTokens: Math.max(
+        grantRequestTokens: Math.max(
           waitingBoundTokens,
           Math.min(target, unallocatedTokens),
         ),
@@ -197,11 +197,15 @@
    */
   private decideConsolidation(input: GrantPolicyInput): GrantDecision {
     const {unallocatedTokens, spendableTokens} = input;
-    if (!input.holdsMost) {
+    if (!input.isLargestHolder) {
       return {...NO_CHANGE, returnTokens: spendableTokens};
     }
     return unallocatedTokens > 0 && input.requestedTokens === 0
-      ? {askTokens: unallocatedTokens, minimumTokens: 1, returnTokens: 0}
+      ? {
+          grantRequestTokens: unallocatedTokens,
+          minimumTokens: 1,
+          returnTokens: 0,
+        }
       : NO_CHANGE;
   }
 
@@ -213,7 +217,10 @@
       input.unallocatedTokens > 0
     ) {
       return {
-        askTokens: Math.min(target - heldTokens, input.unallocatedTokens),
+        grantRequestTokens: Math.min(
+          target - heldTokens,
+          input.unallocatedTokens,
+        ),
         minimumTokens: 1,
         returnTokens: 0,
       };
--- a/packages/ledger/src/holder-book.ts
+++ b/packages/ledger/src/holder-book.ts
@@ -18,7 +18,7 @@
  * The grant of a new book: accepted by the fold, or transferred from another
  * holder.
  */
-export interface GrantOpening {
+export interface GrantTerms {
   readonly grantId: string;
   readonly organisation: string;
   readonly tokens: number;
@@ -50,7 +50,7 @@
   private returnedTokens = 0;
   private closing = false;
 
-  constructor(readonly opening: GrantOpening) {}
+  constructor(readonly grant: GrantTerms) {}
 
   /** Tokens that can be reserved or transferred; 0 once the book is closing. */
   get spendableTokens(): number {
@@ -68,7 +68,7 @@
   }
 
   /** Bills that have not been folded from the log yet. */
-  get unfoldedBills(): readonly Bill[] {
+  get pendingBills(): readonly Bill[] {
     return [...this.pendingBillsByRequestId.values()];
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** Records that another router has taken over a request. */
-  reassign(requestId: string, router: string): BookChange | undefined {
+  reassignRouter(requestId: string, router: string): BookChange | undefined {
     const open = this.openByRequestId.get(requestId);
     if (open === undefined) {
       return undefined;
@@ -135,7 +135,7 @@
   }
 
   /** Records the attempt and endpoint to which a request is dispatched. */
-  dispatching(
+  recordDispatch(
     requestId: string,
     attempt: AttemptReference,
   ): BookChange | undefined {
@@ -159,7 +159,7 @@
       return undefined;
     }
     const charged = clone(BillSchema, bill);
-    charged.grantId = this.opening.grantId;
+    charged.grantId = this.grant.grantId;
     charged.tokens = isTokenAmount(bill.tokens)
       ? Math.min(bill.tokens, bound)
       : bound;
@@ -191,7 +191,7 @@
       return undefined;
     }
     const outgoing = clone(TransferSchema, transfer);
-    outgoing.fromGrant = this.opening.grantId;
+    outgoing.fromGrant = this.grant.grantId;
     this.pendingTransfersById.set(outgoing.transferId, outgoing);
     this.transferredTokens += outgoing.tokens;
     return this.createChange({case: 'transferred', value: outgoing});
@@ -202,14 +202,14 @@
    *
    * @returns undefined if the amount is invalid or above the free tokens.
    */
-  giveBack(tokens: number): BookChange | undefined {
+  returnTokens(tokens: number): BookChange | undefined {
     if (!isTokenAmount(tokens) || tokens > this.freeTokens) {
       return undefined;
     }
     this.returnedTokens += tokens;
     return this.createChange({
       case: 'returned',
-      value: create(ReturnSchema, {grantId: this.opening.grantId, tokens}),
+      value: create(ReturnSchema, {grantId: this.grant.grantId, tokens}),
     });
   }
 
@@ -219,7 +219,7 @@
    */
   get freeTokens(): number {
     return (
-      this.opening.tokens -
+      this.grant.tokens -
       this.reservedTokens -
       this.settledTokens -
       this.transferredTokens -
@@ -228,7 +228,7 @@
   }
 
   /** Removes a bill that has been folded from the log. */
-  billFolded(requestId: string): void {
+  removeFoldedBill(requestId: string): void {
     this.pendingBillsByRequestId.delete(requestId);
   }
 
@@ -236,7 +236,7 @@
    * Removes a bill that the fold ignored as a duplicate of an earlier bill of
    * the request, and makes its tokens free again.
    */
-  billIgnored(requestId: string): void {
+  refundDuplicateBill(requestId: string): void {
     const bill = this.pendingBillsByRequestId.get(requestId);
     if (bill !== undefined) {
       this.pendingBillsByRequestId.delete(requestId);
@@ -245,18 +245,18 @@
   }
 
   /** Removes a transfer that has been folded from the log. */
-  transferFolded(transferId: string): void {
+  removeFoldedTransfer(transferId: string): void {
     this.pendingTransfersById.delete(transferId);
   }
 
   /**
    * Returns a change with the whole book, for a witness that has no copy of it.
    */
-  opened(): BookChange {
+  createOpenedChange(): BookChange {
     return this.createChange({
       case: 'opened',
       value: create(GrantBookSchema, {
-        ...this.opening,
+        ...this.grant,
         open: [...this.openByRequestId.values()],
         settled: [...this.pendingBillsByRequestId.values()],
         transfers: [...this.pendingTransfersById.values()],
@@ -280,8 +280,8 @@
     requestId = '',
   ): BookChange {
     return create(BookChangeSchema, {
-      organisation: this.opening.organisation,
-      grantId: this.opening.grantId,
+      organisation: this.grant.organisation,
+      grantId: this.grant.grantId,
       requestId,
       ...(kind === undefined ? {} : {kind}),
     });
--- a/packages/ledger/src/simulated-organisation.ts
+++ b/packages/ledger/src/simulated-organisation.ts
@@ -123,7 +123,7 @@
       this.demand.add(usedTokens, atSecond * MILLISECONDS_PER_SECOND);
       if (connectivity === Connectivity.Platform) {
         this.append({case: 'bill', value: change.kind.value}, '');
-        book.billFolded(requestId);
+        book.removeFoldedBill(requestId);
       }
     }
     return true;
@@ -152,15 +152,19 @@
       ),
       largestBoundTokens: holder.largestBoundTokens,
       waitingBoundTokens,
-      holdsMost: this.holders.every(
+      isLargestHolder: this.holders.every(
         other => other.spendableTokens <= holder.spendableTokens,
       ),
       holders: this.holders.length,
       partitionSeconds: SIMULATED_FAILURE_SECONDS,
       preference: this.fleet.preference,
     });
-    if (decision.askTokens > 0) {
-      this.requestGrant(holder, decision.askTokens, decision.minimumTokens);
+    if (decision.grantRequestTokens > 0) {
+      this.requestGrant(
+        holder,
+        decision.grantRequestTokens,
+        decision.minimumTokens,
+      );
     }
     if (decision.returnTokens > 0) {
       this.returnTokens(holder, decision.returnTokens);
@@ -234,9 +238,12 @@
     let remainingTokens = Math.floor(tokens);
     for (const book of holder.books) {
       const returnedTokens = Math.min(remainingTokens, book.spendableTokens);
-      if (returnedTokens > 0 && book.giveBack(returnedTokens) !== undefined) {
+      if (
+        returnedTokens > 0 &&
+        book.returnTokens(returnedTokens) !== undefined
+      ) {
         remainingTokens -= returnedTokens;
-        const {grantId} = book.opening;
+        const {grantId} = book.grant;
         this.append(
           {case: 'return', value: {grantId, tokens: returnedTokens}},
           holder.name,
--- a/packages/ledger/src/test/escrow-model.ts
+++ b/packages/ledger/src/test/escrow-model.ts
@@ -327,10 +327,7 @@
       }
     }
     for (const holding of actor.holdings.values()) {
-      const state = actor.fold.grant(
-        ORGANISATION,
-        holding.book.opening.grantId,
-      );
+      const state = actor.fold.grant(ORGANISATION, holding.book.grant.grantId);
       if (state !== undefined && holding.proposedWitness === state.witness) {
         holding.witness = state.witness;
         holding.proposedWitness = undefined;
@@ -356,7 +353,7 @@
     });
     const holding = {book, witness, proposedWitness: undefined};
     actor.holdings.set(grantId, holding);
-    this.replicate(actor, holding, book.opened(), () => undefined);
+    this.replicate(actor, holding, book.createOpenedChange(), () => undefined);
   }
 
   /**
@@ -428,7 +425,7 @@
           [holding.witness, holding.proposedWitness].includes(witness.name),
         )
         .map(holding => ({
-          change: holding.book.opened(),
+          change: holding.book.createOpenedChange(),
           onAcknowledged: () => undefined,
         })),
     );
@@ -526,8 +523,8 @@
     holding: HeldGrant | undefined,
     amount: number,
   ): void {
-    if (holding?.book.giveBack(amount) !== undefined) {
-      const {grantId} = holding.book.opening;
+    if (holding?.book.returnTokens(amount) !== undefined) {
+      const {grantId} = holding.book.grant;
       actor.pendingEntries.push(
         this.entry({case: 'return', value: {grantId, tokens: amount}}),
       );
@@ -604,7 +601,7 @@
     }
     actor.undecidedReclaims.delete(grantId);
     if (verdict?.reason === RefusalReason.NotWitness) {
-      actor.witnessBook.liftFence(grantId);
+      actor.witnessBook.unfence(grantId);
     }
   }
 
@@ -624,12 +621,12 @@
     const channel = actor.channels.get(newWitness) ?? [];
     actor.channels.set(newWitness, channel);
     channel.push({
-      change: holding.book.opened(),
+      change: holding.book.createOpenedChange(),
       onAcknowledged: () => {
         this.append(actor.name, {
           case: 'witnessChange',
           value: {
-            grantId: holding.book.opening.grantId,
+            grantId: holding.book.grant.grantId,
             from: holding.witness,
             to: newWitness,
           },
--- a/packages/ledger/src/test/grant-policy_test.ts
+++ b/packages/ledger/src/test/grant-policy_test.ts
@@ -15,7 +15,7 @@
   totalDemandTokensPerSecond: 0,
   largestBoundTokens: 100,
   waitingBoundTokens: 0,
-  holdsMost: false,
+  isLargestHolder: false,
   holders: 4,
   partitionSeconds: 3_600,
   preference: BudgetPreference.AVOID_REFUSALS,
@@ -36,14 +36,18 @@
       demandTokensPerSecond: 10,
       totalDemandTokensPerSecond: 100,
     });
-    expect(busy.askTokens).toBeGreaterThan(5 * quiet.askTokens);
-    expect(busy.askTokens + quiet.askTokens).toBeLessThanOrEqual(100_000);
+    expect(busy.grantRequestTokens).toBeGreaterThan(
+      5 * quiet.grantRequestTokens,
+    );
+    expect(
+      busy.grantRequestTokens + quiet.grantRequestTokens,
+    ).toBeLessThanOrEqual(100_000);
   });
 
   it('requests only the idle reserve while no witness is available', () => {
     // Guards against a budget that is stranded on one host.
     const alone = {...INPUT, hasWitness: false, holders: 1};
-    expect(policy.decide(alone).askTokens).toBe(4 * 100);
+    expect(policy.decide(alone).grantRequestTokens).toBe(4 * 100);
   });
 
   it('returns no tokens while no witness is available', () => {
@@ -78,7 +82,9 @@
       largestSpendableTokens: 200,
     };
     expect(policy.decide(end).returnTokens).toBe(200);
-    expect(policy.decide({...end, holdsMost: true}).askTokens).toBe(100);
+    expect(
+      policy.decide({...end, isLargestHolder: true}).grantRequestTokens,
+    ).toBe(100);
   });
 });
 
--- a/packages/ledger/src/witness-book.ts
+++ b/packages/ledger/src/witness-book.ts
@@ -94,7 +94,7 @@
    * grant is kept: it lacks only unacknowledged changes, and the holder may
    * have chosen this witness again in the meantime.
    */
-  liftFence(grantId: string): void {
+  unfence(grantId: string): void {
     this.fencedGrants.delete(grantId);
   }
 
@@ -161,12 +161,12 @@
   }
 
   /** Removes a bill that has been folded from the log. */
-  billFolded(grantId: string, requestId: string): void {
+  removeFoldedBill(grantId: string, requestId: string): void {
     this.grants.get(grantId)?.settled.delete(requestId);
   }
 
   /** Removes a transfer that has been folded from the log. */
-  transferFolded(grantId: string, transferId: string): void {
+  removeFoldedTransfer(grantId: string, transferId: string): void {
     this.grants.get(grantId)?.transfers.delete(transferId);
   }
 
@@ -176,12 +176,12 @@
    * holder that chooses this witness again may send the whole book before this
    * keeper folds the change to another witness.
    */
-  forget(grantId: string): void {
+  removeGrant(grantId: string): void {
     this.grants.delete(grantId);
   }
 
   /** Returns all witnessed grants, for explanations and state dumps. */
-  view(): readonly WitnessedGrantView[] {
+  listGrants(): readonly WitnessedGrantView[] {
     return [...this.grants].map(([grantId, grant]) => ({
       grantId,
       organisation: grant.organisation,
--- a/packages/measurements/src/budget-replay.ts
+++ b/packages/measurements/src/budget-replay.ts
@@ -2,10 +2,10 @@
 import {
   BudgetFold,
   ChargePoint,
-  chargePoint,
+  chooseChargePoint,
   GrantAccount,
-  lendersOf,
-  loanFor,
+  lendersByHeldTokens,
+  loanAmount,
   type GrantSizing,
 } from '@wisteriadeal/budgets';
 import {BudgetRecordSchema, type BudgetRecord} from '@wisteriadeal/schema';
@@ -194,7 +194,7 @@
       const {host, organisation, bound} = request;
       request.isChargeDeferred = false;
       if (!this.tryChargeDeferred(host, organisation, bound)) {
-        accountOf(host, organisation).dropPromise(bound);
+        accountOf(host, organisation).cancelPromise(bound);
         this.running = this.running.filter(each => each !== request);
         this.settleTotals(organisation, bound, 0);
         this.refusedAffordableRequests += request.isAffordable ? 1 : 0;
@@ -208,17 +208,17 @@
     bound: number,
   ): boolean {
     const account = accountOf(host, organisation);
-    if (account.keepPromise(bound)) {
+    if (account.reservePromised(bound)) {
       return true;
     }
     if (this.reachesStore(host.index)) {
       this.requestGrant(host, organisation, bound, bound, true);
     }
-    if (account.keepPromise(bound)) {
+    if (account.reservePromised(bound)) {
       return true;
     }
     this.borrow(host, organisation, bound);
-    return account.keepPromise(bound);
+    return account.reservePromised(bound);
   }
 
   private failHost(index: number): void {
@@ -256,14 +256,14 @@
     const account = accountOf(host, organisation);
     const {prepaid} = this.totalsOf(organisation);
     const view = this.fold.view(organisation);
-    const change = this.policy.sizing.change(
+    const change = this.policy.sizing.planChange(
       account,
       view,
       prepaid,
       this.now * MILLISECONDS_PER_SECOND,
     );
-    if (change.giveBack > 0) {
-      const amount = account.debit(change.giveBack);
+    if (change.returnTokens > 0) {
+      const amount = account.debit(change.returnTokens);
       this.enqueueRecord(host, {
         case: 'returned',
         value: {
@@ -274,8 +274,14 @@
         },
       });
       this.flushRecords(host);
-    } else if (change.wish > 0 || view === undefined) {
-      this.requestGrant(host, organisation, change.wish, change.least, false);
+    } else if (change.requestTokens > 0 || view === undefined) {
+      this.requestGrant(
+        host,
+        organisation,
+        change.requestTokens,
+        change.minimumTokens,
+        false,
+      );
     }
   }
 
@@ -325,7 +331,8 @@
     const view = this.fold.view(organisation);
     const isLogReachable = this.reachesStore(host.index);
     if (
-      chargePoint(account, view, bound, isLogReachable) === ChargePoint.Dispatch
+      chooseChargePoint(account, view, bound, isLogReachable) ===
+      ChargePoint.Dispatch
     ) {
       return false;
     }
@@ -355,7 +362,11 @@
 
   private borrow(host: ReplayHost, organisation: string, bound: number): void {
     const account = accountOf(host, organisation);
-    const lenders = lendersOf(this.fold, organisation, host.incarnation);
+    const lenders = lendersByHeldTokens(
+      this.fold,
+      organisation,
+      host.incarnation,
+    );
     for (const {incarnation} of lenders) {
       const lender = this.hosts.find(each => each.incarnation === incarnation);
       if (account.available >= bound) {
@@ -376,7 +387,7 @@
   ): void {
     const account = accountOf(lender, organisation);
     const amount = account.debit(
-      loanFor(account, minimumTokens, 3 * minimumTokens),
+      loanAmount(account, minimumTokens, 3 * minimumTokens),
     );
     if (amount === 0) {
       return;
--- a/packages/measurements/src/caller-client.ts
+++ b/packages/measurements/src/caller-client.ts
@@ -1,7 +1,7 @@
 import {
   HttpPeer,
   readServerSentEvents,
-  type OpenAnswer,
+  type StreamingResponse,
 } from '@wisteriadeal/platform';
 import {createHash} from 'node:crypto';
 
@@ -93,7 +93,7 @@
   return {...LOST_RESULT, kind: ResultKind.Answered, requestId, ...checked};
 }
 
-async function readBody(answer: OpenAnswer): Promise<Buffer> {
+async function readBody(answer: StreamingResponse): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of answer.body) {
     chunks.push(chunk as Buffer);
@@ -170,7 +170,7 @@
   private open(
     request: CallerRequest,
     signal: AbortSignal | undefined,
-  ): Promise<OpenAnswer> {
+  ): Promise<StreamingResponse> {
     const path = isCompletion(request)
       ? '/v1/chat/completions'
       : `/v1/services/${request.service}/${request.call}`;
@@ -193,7 +193,7 @@
   private async readStream(
     call: CompletionCall,
     requestId: string,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     recordFirstText: () => void,
   ): Promise<UntimedResult> {
     const check = new StreamChecker(call, requestId);
@@ -213,7 +213,7 @@
   private async readWhole(
     request: CallerRequest,
     requestId: string,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
   ): Promise<UntimedResult> {
     const body = await readBody(answer);
     const checked = isCompletion(request)
--- a/packages/measurements/src/cases/budget-reserve-case.ts
+++ b/packages/measurements/src/cases/budget-reserve-case.ts
@@ -24,14 +24,18 @@
  * it.
  */
 class EqualSplitSizing extends GrantSizing {
-  override change(
+  override planChange(
     account: GrantAccount,
     _view: BudgetView | undefined,
     prepaid: number,
   ): GrantChange {
     const isFirst = account.held === 0 && account.spent === 0;
     const requested = isFirst ? Math.floor(prepaid / HOST_COUNT) : 0;
-    return {wish: requested, least: requested, giveBack: 0};
+    return {
+      requestTokens: requested,
+      minimumTokens: requested,
+      returnTokens: 0,
+    };
   }
 }
 
--- a/packages/measurements/src/cases/capacity-slopes-case.ts
+++ b/packages/measurements/src/cases/capacity-slopes-case.ts
@@ -93,7 +93,7 @@
       witness.apply(change);
     }
   };
-  applyToWitness(book.opened());
+  applyToWitness(book.createOpenedChange());
   return processorMicroseconds(REPETITIONS, index => {
     const bill = sampleBill(index);
     const {requestId, attemptId, endpoint, caller} = bill;
@@ -114,8 +114,8 @@
       ),
     );
     applyToWitness(book.settle(bill));
-    book.billFolded(requestId);
-    witness.billFolded(bill.grantId, requestId);
+    book.removeFoldedBill(requestId);
+    witness.removeFoldedBill(bill.grantId, requestId);
   });
 }
 
--- a/packages/measurements/src/decisions-simulation.ts
+++ b/packages/measurements/src/decisions-simulation.ts
@@ -53,7 +53,7 @@
       dataCenter: SIMULATED_DATA_CENTER,
       maximumQueuedRequests: simulation.maximumQueuedRequests,
       fraction,
-      tripMilliseconds: () => simulation.roundTripMilliseconds,
+      roundTripMilliseconds: () => simulation.roundTripMilliseconds,
       policies: simulation.createPolicies(fraction),
     });
     const slots = engines[0]?.slots ?? 1;
--- a/packages/operator/src/test/never-reverts_test.ts
+++ b/packages/operator/src/test/never-reverts_test.ts
@@ -50,21 +50,21 @@
         return;
       }
       case LogEvent.DelayedDuplicates:
-        store.faults.loseAnswers = 0;
+        store.faults.answersToLose = 0;
         for (const {payload} of [...store.records(CONFIGURATION_STREAM)]) {
           await log.append(CONFIGURATION_STREAM, payload);
         }
         return;
       case LogEvent.LostResponses:
-        store.faults.loseAnswers = 2;
+        store.faults.answersToLose = 2;
         return;
       case LogEvent.Expiry:
-        store.faults.loseAnswers = 0;
+        store.faults.answersToLose = 0;
         store.faults.retentionRecords = 1;
         await this.appendCheckpoint();
         return;
       case LogEvent.UndecodableRecord:
-        store.faults.loseAnswers = 0;
+        store.faults.answersToLose = 0;
         await log.append(CONFIGURATION_STREAM, Buffer.from('not a record'));
     }
   }
--- a/packages/operator/src/test/publication_test.ts
+++ b/packages/operator/src/test/publication_test.ts
@@ -92,7 +92,7 @@
   // copies with the same identifier, so there is one acceptance.
   it('publishes once although responses of the log are lost', async () => {
     const {clock, store, log} = createMemoryLog();
-    store.faults.loseAnswers = 3;
+    store.faults.answersToLose = 3;
     const result = await settle(
       clock,
       publishConfiguration(log, clock, request('p1', 0, 'a')),
--- a/packages/operator/src/test/stranded-release_test.ts
+++ b/packages/operator/src/test/stranded-release_test.ts
@@ -67,7 +67,7 @@
   // must return once; twice would make the budget 700 tokens.
   it('returns the remaining tokens once although responses are lost', async () => {
     const {store, release} = await createStrandedGrant();
-    store.faults.loseAnswers = 2;
+    store.faults.answersToLose = 2;
     expect(await release('g1')).toEqual({
       outcome: StrandedReleaseOutcome.Released,
       unallocatedTokens: 500,
--- a/packages/operator/src/test/top-up_test.ts
+++ b/packages/operator/src/test/top-up_test.ts
@@ -80,8 +80,8 @@
     'credits each identifier once although responses are lost',
     async lostResponseCounts => {
       const {clock, store, log} = createMemoryLog();
-      for (const [index, loseAnswers] of lostResponseCounts.entries()) {
-        store.faults.loseAnswers = loseAnswers;
+      for (const [index, answersToLose] of lostResponseCounts.entries()) {
+        store.faults.answersToLose = answersToLose;
         const repeatedRequest = request(`invoice-${index}`, 100);
         const outcomes = [
           await settle(clock, topUp(log, clock, repeatedRequest)),
@@ -91,7 +91,7 @@
           outcomes.map(outcome => (outcome as TopUpResult).outcome),
         ).toEqual([TopUpOutcome.Credited, TopUpOutcome.AlreadyCredited]);
       }
-      store.faults.loseAnswers = 0;
+      store.faults.answersToLose = 0;
       const last = await topUp(log, clock, request('last', 1));
       expect(last.creditedTokens).toBe(lostResponseCounts.length * 100 + 1);
     },
--- a/packages/platform/src/host-link.ts
+++ b/packages/platform/src/host-link.ts
@@ -21,7 +21,7 @@
    * Largest response, in bytes, that the link can deliver within a time in milliseconds;
    * Infinity without congestion.
    */
-  abstract answerBytes(milliseconds: number): number;
+  abstract maximumAnswerBytes(milliseconds: number): number;
 
   /** Whether the link is congested and no inbound data arrived without delay recently. */
   abstract get isLate(): boolean;
@@ -30,37 +30,37 @@
    * Records how long a connection took to open, or how long it has been pending, in
    * milliseconds.
    */
-  abstract connected(milliseconds: number): void;
+  abstract recordConnection(milliseconds: number): void;
 
   /**
    * Records the milliseconds until the arrival of data that the peer sends without
    * delay.
    */
-  abstract arrived(milliseconds: number): void;
+  abstract recordArrival(milliseconds: number): void;
 
   /** Records that such data did not arrive, and after how many milliseconds the wait ended. */
-  abstract expired(milliseconds: number): void;
+  abstract recordTimeout(milliseconds: number): void;
 }
 
 /** A link without congestion: it delays no data and ignores measurements. */
-export class FreeLink extends HostLink {
+export class UncongestedLink extends HostLink {
   override readonly delayMilliseconds: number = 0;
   override readonly isCongested = false;
   override readonly isLate = false;
 
-  override connected(): void {
+  override recordConnection(): void {
     // The delay is always 0.
   }
 
-  override answerBytes(): number {
+  override maximumAnswerBytes(): number {
     return Infinity;
   }
 
-  override arrived(): void {
+  override recordArrival(): void {
     // The delay is always 0.
   }
 
-  override expired(): void {
+  override recordTimeout(): void {
     // The delay is always 0.
   }
 }
--- a/packages/platform/src/http-caller.ts
+++ b/packages/platform/src/http-client.ts
@@ -5,7 +5,7 @@
   isConnectErrorCode,
   KEEP_ALIVE_TIMEOUT_MILLISECONDS,
 } from './connection-errors.js';
-import {FreeLink, type HostLink} from './host-link.js';
+import {UncongestedLink, type HostLink} from './host-link.js';
 import type {
   BufferedResponse,
   Exchange,
@@ -59,7 +59,7 @@
  * responses into memory, reuses connections and never retries. `HttpPeer` has more
  * features, but a call costs several times as much.
  */
-export class HttpCaller {
+export class HttpClient {
   private readonly agent = new Agent({
     keepAlive: true,
     timeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
@@ -132,7 +132,11 @@
     private readonly call: HttpCall,
     private readonly fail: (error: Error) => void,
   ) {
-    const {timeouts, link = new FreeLink(), longPollMilliseconds = 0} = call;
+    const {
+      timeouts,
+      link = new UncongestedLink(),
+      longPollMilliseconds = 0,
+    } = call;
     this.link = link;
     this.linkDelayMilliseconds = Math.min(
       MAXIMUM_LINK_DELAY_MILLISECONDS,
@@ -182,14 +186,14 @@
 
   private recordArrival(): void {
     if (this.waitingSince !== undefined) {
-      this.link.arrived(performance.now() - this.waitingSince);
+      this.link.recordArrival(performance.now() - this.waitingSince);
     }
   }
 
   private recordTimeout(longPollMilliseconds: number): void {
     if (this.waitingSince !== undefined) {
       const waited = performance.now() - this.waitingSince;
-      this.link.expired(waited - longPollMilliseconds);
+      this.link.recordTimeout(waited - longPollMilliseconds);
     }
   }
 }
--- a/packages/platform/src/http-engine-stream.ts
+++ b/packages/platform/src/http-engine-stream.ts
@@ -1,6 +1,6 @@
 import {readServerSentEvents} from './event-stream-reader.js';
 import {checkAttemptEcho} from './http-endpoint-options.js';
-import {toStepError, type OpenAnswer} from './http-peer.js';
+import {toStepError, type StreamingResponse} from './http-peer.js';
 import {
   asFields,
   listField,
@@ -45,7 +45,7 @@
   constructor(
     private readonly endpoint: string,
     readonly attemptId: string,
-    private readonly answer: OpenAnswer,
+    private readonly answer: StreamingResponse,
   ) {
     this.events = this.read();
   }
--- a/packages/platform/src/http-peer.ts
+++ b/packages/platform/src/http-peer.ts
@@ -32,7 +32,7 @@
 }
 
 /** A response whose head has been read. */
-export interface OpenAnswer {
+export interface StreamingResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   /** The body as it arrives; destroying it destroys the connection. */
@@ -113,7 +113,7 @@
    * const answer = await peer.open({step: 'read load', method: 'GET', …});
    * ```
    */
-  async open(exchange: Exchange): Promise<OpenAnswer> {
+  async open(exchange: Exchange): Promise<StreamingResponse> {
     const body = this.client.stream(`${this.url}${exchange.path}`, {
       method: exchange.method as 'GET',
       headers: {...exchange.headers},
@@ -121,16 +121,23 @@
       ...(exchange.body === undefined ? {} : {body: exchange.body}),
       ...(exchange.signal === undefined ? {} : {signal: exchange.signal}),
     });
-    return new Promise<OpenAnswer>((resolve, reject) => {
+    return new Promise<StreamingResponse>((resolve, reject) => {
       // The listener stays registered after the head: a later error also ends the
       // iteration over the body, and without a listener it would end the process
       // when no code iterates over the body.
       body.on('error', error => {
         reject(toStepError(exchange.step, this.peer, error));
       });
-      body.once('response', (response: OpenAnswer & {statusCode: number}) => {
-        resolve({status: response.statusCode, headers: response.headers, body});
-      });
+      body.once(
+        'response',
+        (response: StreamingResponse & {statusCode: number}) => {
+          resolve({
+            status: response.statusCode,
+            headers: response.headers,
+            body,
+          });
+        },
+      );
     });
   }
 
@@ -148,7 +155,7 @@
    */
   async exchange(
     exchange: Exchange,
-    check?: (answer: OpenAnswer) => void,
+    check?: (answer: StreamingResponse) => void,
   ): Promise<BufferedResponse> {
     const answer = await this.open(exchange);
     try {
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -9,7 +9,7 @@
 } from './event-stream-reader.js';
 export * from './host-link.js';
 export * from './host-list.js';
-export * from './http-caller.js';
+export * from './http-client.js';
 export * from './http-endpoint-options.js';
 export * from './http-host-list.js';
 export * from './http-log-client.js';
--- a/packages/platform/src/partitioned-log.ts
+++ b/packages/platform/src/partitioned-log.ts
@@ -1,4 +1,4 @@
-import {FreeLink, type HostLink} from './host-link.js';
+import {UncongestedLink, type HostLink} from './host-link.js';
 
 /** One partition of a topic. */
 export interface Partition {
@@ -32,7 +32,7 @@
 export interface NewestRecords {
   readonly items: readonly KeyedRecord[];
   /** Reading from this offset on returns every change that the items do not include. */
-  readonly resumeAt: number;
+  readonly resumeOffset: number;
 }
 
 /** The requested records are no longer retained. */
@@ -54,7 +54,7 @@
  */
 export abstract class PartitionedLog {
   /** The link over which responses reach this host. */
-  protected link: HostLink = new FreeLink();
+  protected link: HostLink = new UncongestedLink();
 
   /**
    * Sets the link over which responses arrive: timeouts are longer while it is full.
--- a/packages/platform/src/test/http-caller_test.ts
+++ b/packages/platform/src/test/http-client_test.ts
@@ -2,7 +2,7 @@
 import type {AddressInfo} from 'node:net';
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {Fate, FreeLink, HttpCaller, type HttpCall} from '../index.js';
+import {Fate, UncongestedLink, HttpClient, type HttpCall} from '../index.js';
 
 type Handler = Parameters<typeof createServer>[1];
 
@@ -14,19 +14,19 @@
 };
 
 /** A link that delays inbound data for longer than any timeout. */
-class CongestedLink extends FreeLink {
+class CongestedLink extends UncongestedLink {
   override readonly delayMilliseconds = 5_000;
 }
 
 let server: Server | undefined;
-let client: HttpCaller | undefined;
+let client: HttpClient | undefined;
 
-async function startPeer(handler: Handler): Promise<HttpCaller> {
+async function startPeer(handler: Handler): Promise<HttpClient> {
   const listening = createServer(handler);
   server = listening;
   await new Promise<void>(resolve => listening.listen(0, '127.0.0.1', resolve));
   const {port} = listening.address() as AddressInfo;
-  client = new HttpCaller('127.0.0.1', port, 'store');
+  client = new HttpClient('127.0.0.1', port, 'store');
   return client;
 }
 
@@ -43,7 +43,7 @@
   server?.close();
 });
 
-describe('HttpCaller', () => {
+describe('HttpClient', () => {
   it('sends the request and reads the complete response, whatever its status', async () => {
     const {call} = bindCall(
       await startPeer((request, response) => {
@@ -77,7 +77,7 @@
   });
 
   it('fails with the fate NotDone if the connection is refused', async () => {
-    const {call} = bindCall(new HttpCaller('127.0.0.1', 1, 'store'));
+    const {call} = bindCall(new HttpClient('127.0.0.1', 1, 'store'));
     await expect(call(CALL)).rejects.toMatchObject({
       name: 'StepError',
       step: 'read',
@@ -145,6 +145,6 @@
   });
 });
 
-function bindCall(peer: HttpCaller) {
+function bindCall(peer: HttpClient) {
   return {call: (call: HttpCall) => peer.call(call)};
 }
--- a/packages/runtime/src/binary.ts
+++ b/packages/runtime/src/binary.ts
@@ -60,7 +60,7 @@
   /** The platform or a process is unreachable; the operation had no effect. */
   Unavailable = 69,
   /** The answer was lost; the operation may have taken effect. */
-  Unknown = 75,
+  OutcomeUnknown = 75,
   /** The settings are not valid. */
   Configuration = 78,
 }
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -7,7 +7,7 @@
 export * from './unhandled-errors.js';
 export * from './event-log.js';
 export * from './inspection.js';
-export * from './line-budget.js';
+export * from './line-rate-limiter.js';
 export * from './line-writer.js';
 export * from './message-queue.js';
 export * from './metrics.js';
--- a/packages/runtime/src/line-reporter.ts
+++ b/packages/runtime/src/line-reporter.ts
@@ -1,7 +1,10 @@
 import type {ConsolaReporter, LogObject} from 'consola';
 
 import type {EventFields} from './event-log.js';
-import {DEFAULT_LINE_RATE_LIMITS, LineRateLimiter} from './line-budget.js';
+import {
+  DEFAULT_LINE_RATE_LIMITS,
+  LineRateLimiter,
+} from './line-rate-limiter.js';
 
 /** Destination of log lines, which counts the lines that it drops. */
 export interface LineSink {
--- a/packages/runtime/src/test/line-writer_test.ts
+++ b/packages/runtime/src/test/line-writer_test.ts
@@ -1,6 +1,6 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 
-import {LineRateLimiter} from '../line-budget.js';
+import {LineRateLimiter} from '../line-rate-limiter.js';
 import {LineWriter} from '../line-writer.js';
 
 type Done = (error: Error | null, written: number) => void;
--- a/packages/runtime/src/unhandled-errors.ts
+++ b/packages/runtime/src/unhandled-errors.ts
@@ -21,7 +21,7 @@
  * reportEscapedErrors(EventLog.create(LogLevel.INFO, {process: 'gateway'}));
  * ```
  */
-export function reportEscapedErrors(events: EventLog): void {
+export function logUnhandledErrors(events: EventLog): void {
   process.on('unhandledRejection', error => {
     events.error('unhandled promise rejection', {reason: describeError(error)});
   });
--- a/packages/stand-ins/src/test/memory-log_test.ts
+++ b/packages/stand-ins/src/test/memory-log_test.ts
@@ -11,7 +11,7 @@
 
 test('a record is stored although the answer to its append is lost', async () => {
   const {store, log} = newLog();
-  store.faults.loseAnswers = 1;
+  store.faults.answersToLose = 1;
   const error: unknown = await log
     .append('ledger-0', Buffer.from('a'))
     .catch((reason: unknown) => reason);
--- a/packages/stand-ins/src/testing/fake-host-link.ts
+++ b/packages/stand-ins/src/testing/fake-host-link.ts
@@ -9,9 +9,9 @@
   readonly expiries: number[] = [];
 
   /** Size of the largest answer that can be transferred in time, bytes. */
-  mostAnswerBytes = Infinity;
-  /** Durations passed to `answerBytes`, milliseconds. */
-  readonly answerLimits: number[] = [];
+  answerByteLimit = Infinity;
+  /** Durations passed to `maximumAnswerBytes`, milliseconds. */
+  readonly answerBytesQueries: number[] = [];
 
   override get isCongested(): boolean {
     return this.delayMilliseconds > 0;
@@ -21,20 +21,20 @@
     return this.isCongested;
   }
 
-  override answerBytes(milliseconds: number): number {
-    this.answerLimits.push(milliseconds);
-    return this.mostAnswerBytes;
+  override maximumAnswerBytes(milliseconds: number): number {
+    this.answerBytesQueries.push(milliseconds);
+    return this.answerByteLimit;
   }
 
-  override connected(): void {
+  override recordConnection(): void {
     // Not recorded: `arrivals` and `expiries` suffice for tests.
   }
 
-  override arrived(milliseconds: number): void {
+  override recordArrival(milliseconds: number): void {
     this.arrivals.push(milliseconds);
   }
 
-  override expired(milliseconds: number): void {
+  override recordTimeout(milliseconds: number): void {
     this.expiries.push(milliseconds);
   }
 }
--- a/packages/stand-ins/src/testing/memory-log.ts
+++ b/packages/stand-ins/src/testing/memory-log.ts
@@ -12,7 +12,7 @@
   /** Whether all appends and reads fail. */
   outage: boolean;
   /** Number of subsequent appends that take effect but fail with an unknown outcome. */
-  loseAnswers: number;
+  answersToLose: number;
   /** Number of records that each stream retains; undefined retains all. */
   retentionRecords: number | undefined;
 }
@@ -27,7 +27,7 @@
 export class MemoryLogStore {
   readonly faults: LogFaults = {
     outage: false,
-    loseAnswers: 0,
+    answersToLose: 0,
     retentionRecords: undefined,
   };
 
@@ -112,13 +112,13 @@
  * ```ts
  * const store = new MemoryLogStore(clock);
  * const log = new MemoryLog(store, clock);
- * store.faults.loseAnswers = 1;
+ * store.faults.answersToLose = 1;
  * await log.append('ledger-0', payload); // throws although the record is stored
  * ```
  */
 export class MemoryLog extends LogClient {
   /** Whether all calls of this client fail; other clients are not affected. */
-  cutOff = false;
+  isDisconnected = false;
 
   constructor(
     private readonly store: MemoryLogStore,
@@ -132,8 +132,8 @@
     await Promise.resolve();
     this.requireReachable(step);
     const offset = this.store.append(stream, payload);
-    if (this.store.faults.loseAnswers > 0) {
-      this.store.faults.loseAnswers--;
+    if (this.store.faults.answersToLose > 0) {
+      this.store.faults.answersToLose--;
       throw new StepError(step, 'memory log', Fate.Unknown, 'answer lost');
     }
     return offset;
@@ -180,7 +180,7 @@
   }
 
   private requireReachable(step: string): void {
-    if (this.store.faults.outage || this.cutOff) {
+    if (this.store.faults.outage || this.isDisconnected) {
       throw new StepError(step, 'memory log', Fate.NotDone, 'outage');
     }
   }
--- a/packages/stand-ins/src/testing/memory-partitioned-log.ts
+++ b/packages/stand-ins/src/testing/memory-partitioned-log.ts
@@ -12,15 +12,15 @@
 /** Faults to inject into the log; they can be changed at any time. */
 export interface PartitionedLogFaults {
   /** Whether all calls fail without any effect. */
-  isAway: boolean;
+  isUnavailable: boolean;
   /** Topics for which all calls fail without any effect. */
-  readonly awayTopics: Set<string>;
+  readonly unavailableTopics: Set<string>;
   /** Topics whose reads never complete. */
   readonly hangingReadTopics: Set<string>;
   /** Delay between a call's effect and its answer. */
-  answerAfterMilliseconds: number;
+  answerDelayMilliseconds: number;
   /** Number of subsequent appends that take effect but fail with an unknown outcome. */
-  loseAnswers: number;
+  answersToLose: number;
   /**
    * Number of subsequent appends that fail with an unknown outcome and take effect only
    * at `runDelayedAppends`.
@@ -38,11 +38,11 @@
 /** An in-memory partitioned log with fault injection, which several users may share. */
 export class MemoryPartitionedLog extends PartitionedLog {
   readonly faults: PartitionedLogFaults = {
-    isAway: false,
-    awayTopics: new Set(),
+    isUnavailable: false,
+    unavailableTopics: new Set(),
     hangingReadTopics: new Set(),
-    answerAfterMilliseconds: 0,
-    loseAnswers: 0,
+    answerDelayMilliseconds: 0,
+    answersToLose: 0,
     appendsToDelay: 0,
   };
 
@@ -65,8 +65,8 @@
       const stored = this.stored(partition);
       const offset = stored.first + stored.records.length;
       stored.records.push(...records.map(record => Uint8Array.from(record)));
-      if (this.faults.loseAnswers > 0) {
-        this.faults.loseAnswers--;
+      if (this.faults.answersToLose > 0) {
+        this.faults.answersToLose--;
         throw failure('append', partition, Fate.Unknown);
       }
       return offset;
@@ -108,7 +108,7 @@
       const items = [...newest.values()].filter(
         ({value}) => value !== undefined,
       );
-      return {items, resumeAt: first + records.length};
+      return {items, resumeOffset: first + records.length};
     });
   }
 
@@ -181,19 +181,19 @@
       setImmediate(() => {
         try {
           if (
-            this.faults.isAway ||
-            this.faults.awayTopics.has(partition.topic)
+            this.faults.isUnavailable ||
+            this.faults.unavailableTopics.has(partition.topic)
           ) {
             throw failure(step, partition, Fate.NotDone);
           }
           const value = call();
-          if (this.faults.answerAfterMilliseconds === 0) {
+          if (this.faults.answerDelayMilliseconds === 0) {
             resolve(value);
             return;
           }
           setTimeout(() => {
             resolve(value);
-          }, this.faults.answerAfterMilliseconds);
+          }, this.faults.answerDelayMilliseconds);
         } catch (error) {
           reject(error instanceof Error ? error : new Error(String(error)));
         }
