--- a/packages/budgets/src/refill-backoff.ts
+++ b/packages/budgets/src/refill-backoff.ts
@@ -1,4 +1,6 @@
+/** Pause after the first denial, in milliseconds; it doubles with each further one. */
 const MINIMUM_PAUSE_MILLISECONDS = 250;
+/** Maximum pause between two requests that are denied, in milliseconds. */
 const MAXIMUM_PAUSE_MILLISECONDS = 4_000;
 
 /**
@@ -9,7 +11,7 @@
  *
  * @example
  * ```ts
- * if (pacing.mayRequest(now)) {
+ * if (backoff.mayRequest(now)) {
  *   requestGrant(tokens);
  * }
  * ```
--- a/packages/budgets/src/test/refill-backoff_test.ts
+++ b/packages/budgets/src/test/refill-backoff_test.ts
@@ -6,11 +6,11 @@
 const LOAD_MILLISECONDS = 20_000;
 
 /** Requests a refill in each exchange that allows it; returns the request times. */
-function requestTimes(pacing: RefillBackoff, granted: number): number[] {
+function requestTimes(backoff: RefillBackoff, granted: number): number[] {
   const times: number[] = [];
   for (let now = 0; now < LOAD_MILLISECONDS; now += EXCHANGE_MILLISECONDS) {
-    if (pacing.mayRequest(now)) {
-      pacing.recordVerdict(granted, now);
+    if (backoff.mayRequest(now)) {
+      backoff.recordVerdict(granted, now);
       times.push(now);
     }
   }
@@ -27,20 +27,20 @@
   });
 
   it('requests without a pause while the log grants refills', () => {
-    const pacing = new RefillBackoff();
-    expect(requestTimes(pacing, 1)).toHaveLength(
+    const backoff = new RefillBackoff();
+    expect(requestTimes(backoff, 1)).toHaveLength(
       Math.ceil(LOAD_MILLISECONDS / EXCHANGE_MILLISECONDS),
     );
   });
 
   it('restarts with the minimum pause after a grant', () => {
-    const pacing = new RefillBackoff();
-    pacing.recordVerdict(0, 0);
-    pacing.recordVerdict(0, 250);
-    pacing.recordVerdict(1, 750);
-    expect(pacing.mayRequest(750)).toBe(true);
-    pacing.recordVerdict(0, 750);
-    expect(pacing.mayRequest(999)).toBe(false);
-    expect(pacing.mayRequest(1_000)).toBe(true);
+    const backoff = new RefillBackoff();
+    backoff.recordVerdict(0, 0);
+    backoff.recordVerdict(0, 250);
+    backoff.recordVerdict(1, 750);
+    expect(backoff.mayRequest(750)).toBe(true);
+    backoff.recordVerdict(0, 750);
+    expect(backoff.mayRequest(999)).toBe(false);
+    expect(backoff.mayRequest(1_000)).toBe(true);
   });
 });
--- a/packages/decisions/src/link-delay.ts
+++ b/packages/decisions/src/link-delay.ts
@@ -23,8 +23,8 @@
  *
  * @example
  * ```ts
- * delay.arrived(0.6);
- * delay.expired(120);
+ * delay.recordArrival(0.6);
+ * delay.recordTimeout(120);
  * setTimeout(giveUp, 120 + delay.milliseconds(link.isCongested));
  * ```
  */
--- a/packages/decisions/src/prefix-index.ts
+++ b/packages/decisions/src/prefix-index.ts
@@ -44,18 +44,18 @@
 
   /** Records that the endpoint holds these prefixes now. */
   addPrefixes(state: EndpointState, prefixHashes: readonly string[]): void {
-    const remembered = this.prefixesByEndpoint.get(state) ?? new Set<string>();
-    this.prefixesByEndpoint.set(state, remembered);
+    const tracked = this.prefixesByEndpoint.get(state) ?? new Set<string>();
+    this.prefixesByEndpoint.set(state, tracked);
     for (const hash of prefixHashes) {
-      remembered.delete(hash);
-      remembered.add(hash);
+      tracked.delete(hash);
+      tracked.add(hash);
       this.addHolder(state, hash);
     }
-    for (const oldest of remembered) {
-      if (remembered.size <= MAXIMUM_PREFIXES_PER_ENDPOINT) {
+    for (const oldest of tracked) {
+      if (tracked.size <= MAXIMUM_PREFIXES_PER_ENDPOINT) {
         break;
       }
-      remembered.delete(oldest);
+      tracked.delete(oldest);
       this.removeHolder(state, oldest);
     }
   }
--- a/packages/decisions/src/refusals.ts
+++ b/packages/decisions/src/refusals.ts
@@ -8,11 +8,11 @@
 
 /** Creates refusals with a computed time to retry after. */
 export class Refusals {
-  private readonly returnSchedule: RetrySchedule;
+  private readonly retrySchedule: RetrySchedule;
 
   /** @param fraction Returns random numbers in [0, 1). */
   constructor(fraction: () => number) {
-    this.returnSchedule = new RetrySchedule(fraction);
+    this.retrySchedule = new RetrySchedule(fraction);
   }
 
   /** @param excessMilliseconds By how much the expected wait is too long. */
@@ -23,7 +23,7 @@
     excessMilliseconds: number,
     now: number,
   ): RefuseDecision {
-    const retryAfterMilliseconds = this.returnSchedule.schedule(
+    const retryAfterMilliseconds = this.retrySchedule.schedule(
       item.organisation,
       excessMilliseconds,
       lane.serviceIntervalMilliseconds(item),
--- a/packages/decisions/src/standing-delay.ts
+++ b/packages/decisions/src/standing-delay.ts
@@ -24,7 +24,7 @@
  *
  * @example
  * ```ts
- * delay.arrived(now, connectMilliseconds);
+ * delay.recordArrival(now, connectMilliseconds);
  * if (delay.isStanding(now)) leaveRotation();
  * ```
  */
--- a/packages/decisions/src/test/data-center-circuit-breaker_test.ts
+++ b/packages/decisions/src/test/data-center-circuit-breaker_test.ts
@@ -10,7 +10,7 @@
 const OTHER = 'kigali-b';
 
 function candidates(
-  centers: DataCenterCircuitBreaker,
+  breaker: DataCenterCircuitBreaker,
   now: number,
 ): PlacementCandidate[] {
   return [OWN, OTHER, OTHER, OTHER].map((dataCenter, index) => ({
@@ -18,7 +18,7 @@
     dataCenter,
     slots: 48,
     load: 0,
-    isAvailable: centers.isAvailable(dataCenter, now),
+    isAvailable: breaker.isAvailable(dataCenter, now),
   }));
 }
 
@@ -28,54 +28,54 @@
     // most prompts. Trying each of them in turn would cost a quarter of a
     // second. The caller is answered by an engine of its own data centre
     // instead.
-    const centers = new DataCenterCircuitBreaker(OWN);
-    centers.recordSilence(OTHER, 'engine-1', 100);
-    expect(centers.isAvailable(OTHER, 101)).toBe(true);
-    centers.recordSilence(OTHER, 'engine-2', 101);
+    const breaker = new DataCenterCircuitBreaker(OWN);
+    breaker.recordSilence(OTHER, 'engine-1', 100);
+    expect(breaker.isAvailable(OTHER, 101)).toBe(true);
+    breaker.recordSilence(OTHER, 'engine-2', 101);
     for (let part = 0; part < 20; part++) {
       const chosen = placeRequest(
         {sharedPart: `part-${part}`, dataCenter: OWN, avoided: new Set()},
-        candidates(centers, 102),
+        candidates(breaker, 102),
       );
       expect(chosen?.dataCenter).toBe(OWN);
     }
   });
 
   it('sends one trial request after a pause, and closes on the first response', () => {
-    const centers = new DataCenterCircuitBreaker(OWN);
-    centers.recordSilence(OTHER, 'engine-1', 0);
-    centers.recordSilence(OTHER, 'engine-2', 0);
-    expect(centers.isAvailable(OTHER, 501)).toBe(true);
-    centers.requestSent(OTHER);
-    expect(centers.isAvailable(OTHER, 502)).toBe(false);
-    centers.recordResponse(OTHER);
-    expect(centers.isAvailable(OTHER, 503)).toBe(true);
+    const breaker = new DataCenterCircuitBreaker(OWN);
+    breaker.recordSilence(OTHER, 'engine-1', 0);
+    breaker.recordSilence(OTHER, 'engine-2', 0);
+    expect(breaker.isAvailable(OTHER, 501)).toBe(true);
+    breaker.requestSent(OTHER);
+    expect(breaker.isAvailable(OTHER, 502)).toBe(false);
+    breaker.recordResponse(OTHER);
+    expect(breaker.isAvailable(OTHER, 503)).toBe(true);
   });
 
   it('allows another trial request after an inconclusive one', () => {
     // Guards against a trial request that blocks further trials because its
     // caller leaves at once. Otherwise the data centre would receive nothing
     // for the lifetime of the process.
-    const centers = new DataCenterCircuitBreaker(OWN);
-    centers.recordSilence(OTHER, 'engine-1', 0);
-    centers.recordSilence(OTHER, 'engine-2', 0);
-    centers.requestSent(OTHER);
-    centers.requestEnded(OTHER);
-    expect(centers.isAvailable(OTHER, 600)).toBe(true);
+    const breaker = new DataCenterCircuitBreaker(OWN);
+    breaker.recordSilence(OTHER, 'engine-1', 0);
+    breaker.recordSilence(OTHER, 'engine-2', 0);
+    breaker.requestSent(OTHER);
+    breaker.requestEnded(OTHER);
+    expect(breaker.isAvailable(OTHER, 600)).toBe(true);
   });
 
   it('does not open for a crash while another endpoint responds', () => {
-    const centers = new DataCenterCircuitBreaker(OWN);
-    centers.recordSilence(OTHER, 'engine-1', 0);
-    centers.recordResponse(OTHER);
-    centers.recordSilence(OTHER, 'engine-2', 10);
-    expect(centers.isAvailable(OTHER, 11)).toBe(true);
+    const breaker = new DataCenterCircuitBreaker(OWN);
+    breaker.recordSilence(OTHER, 'engine-1', 0);
+    breaker.recordResponse(OTHER);
+    breaker.recordSilence(OTHER, 'engine-2', 10);
+    expect(breaker.isAvailable(OTHER, 11)).toBe(true);
   });
 
   it('never opens for its own data centre', () => {
-    const centers = new DataCenterCircuitBreaker(OWN);
-    centers.recordSilence(OWN, 'engine-1', 0);
-    centers.recordSilence(OWN, 'engine-2', 0);
-    expect(centers.isAvailable(OWN, 1)).toBe(true);
+    const breaker = new DataCenterCircuitBreaker(OWN);
+    breaker.recordSilence(OWN, 'engine-1', 0);
+    breaker.recordSilence(OWN, 'engine-2', 0);
+    expect(breaker.isAvailable(OWN, 1)).toBe(true);
   });
 });
--- a/packages/decisions/src/test/shared-prompt-placement_test.ts
+++ b/packages/decisions/src/test/shared-prompt-placement_test.ts
@@ -91,15 +91,17 @@
     expect(placeRequest(request, candidates)?.id).toBe('far');
   });
 
-  it('uses an untrusted or failed endpoint only as a last resort', () => {
+  it('uses an unavailable or failed endpoint only as a last resort', () => {
     const request = {
       sharedPart: undefined,
       dataCenter: 'a',
       avoided: new Set(['failed']),
     };
     const failed = endpoint('failed');
-    const doubted = endpoint('doubted', {isAvailable: false});
-    expect(placeRequest(request, [failed, doubted])?.id).toBe('doubted');
+    const unavailable = endpoint('unavailable', {isAvailable: false});
+    expect(placeRequest(request, [failed, unavailable])?.id).toBe(
+      'unavailable',
+    );
     expect(placeRequest(request, [failed])?.id).toBe('failed');
     expect(placeRequest(request, [])).toBeUndefined();
   });
--- a/packages/runtime/src/unhandled-errors.ts
+++ b/packages/runtime/src/unhandled-errors.ts
@@ -18,7 +18,7 @@
  *
  * @example
  * ```ts
- * reportEscapedErrors(EventLog.create(LogLevel.INFO, {process: 'gateway'}));
+ * logUnhandledErrors(EventLog.create(LogLevel.INFO, {process: 'gateway'}));
  * ```
  */
 export function logUnhandledErrors(events: EventLog): void {
