--- a/packages/budgets/src/test/fleet-model.ts
+++ b/packages/budgets/src/test/fleet-model.ts
@@ -19,7 +19,7 @@
   account: GrantAccount;
   unwritten: BudgetRecord[];
   /** Bounds of requests with reserved tokens. */
-  open: number[];
+  reserved: number[];
   /** Bounds of running requests that have delivered nothing yet. */
   promised: number[];
   unanswered: UnansweredLoans;
@@ -120,9 +120,9 @@
   }
 
   reserve(host: number, bound: number): void {
-    const {account, open} = this.hostAt(host);
+    const {account, reserved} = this.hostAt(host);
     if (account.reserve(bound, 0)) {
-      open.push(bound);
+      reserved.push(bound);
     }
   }
 
@@ -135,11 +135,11 @@
 
   /** Delivers the answer to the newest promised request. */
   deliver(host: number): void {
-    const {account, open, promised} = this.hostAt(host);
+    const {account, reserved, promised} = this.hostAt(host);
     const bound = promised.at(-1);
     if (bound !== undefined && account.reservePromised(bound)) {
       promised.pop();
-      open.push(bound);
+      reserved.push(bound);
     }
   }
 
@@ -154,8 +154,8 @@
 
   /** Ends a request that used a part of its bound. */
   settle(host: number, part: number): void {
-    const {account, open} = this.hostAt(host);
-    const bound = open.pop();
+    const {account, reserved} = this.hostAt(host);
+    const bound = reserved.pop();
     if (bound !== undefined) {
       const used = Math.floor(bound * part);
       account.settle(bound, used);
@@ -236,7 +236,7 @@
    */
   restart(host: number): void {
     const index = host % this.hosts.length;
-    for (const bound of this.hostAt(host).open) {
+    for (const bound of this.hostAt(host).reserved) {
       this.spent += bound;
     }
     this.hosts[index] = this.start(index);
@@ -268,7 +268,7 @@
       sequence: 0,
       account: new GrantAccount(),
       unwritten: [],
-      open: [],
+      reserved: [],
       promised: [],
       unanswered: new UnansweredLoans(),
       lateAnswers: [],
--- a/packages/budgets/src/test/grant-sizing_test.ts
+++ b/packages/budgets/src/test/grant-sizing_test.ts
@@ -9,12 +9,12 @@
 const HOLDERS = 9;
 const RESERVE = {pooledPart: 0.4, seconds: 16};
 
-function view(rest: number, unallocated = rest): BudgetView {
+function view(remaining: number, unallocated = remaining): BudgetView {
   return {
     prepaid: PREPAID,
-    remaining: rest,
+    remaining,
     unallocated,
-    spent: PREPAID - rest,
+    spent: PREPAID - remaining,
     holders: HOLDERS,
   };
 }
--- a/packages/budgets/src/test/reservation_test.ts
+++ b/packages/budgets/src/test/reservation_test.ts
@@ -25,10 +25,10 @@
     // event when the power fails. Reserved at the dispatch, 2.4 million tokens would
     // count as spent.
     const account = new GrantAccount();
-    const left = view(2_900_000);
+    const budget = view(2_900_000);
     let promises = 0;
     while (
-      chooseChargePoint(account, left, PROMPT, true) === ChargePoint.Delivery
+      chooseChargePoint(account, budget, PROMPT, true) === ChargePoint.Delivery
     ) {
       account.promise(PROMPT, 0);
       promises++;
@@ -39,9 +39,9 @@
 
   it('promises at most the unallocated tokens less a margin for other hosts', () => {
     const account = new GrantAccount();
-    const left = view(300_000);
+    const budget = view(300_000);
     while (
-      chooseChargePoint(account, left, PROMPT, true) === ChargePoint.Delivery
+      chooseChargePoint(account, budget, PROMPT, true) === ChargePoint.Delivery
     ) {
       account.promise(PROMPT, 0);
     }
--- a/packages/decisions/src/fair-admission.ts
+++ b/packages/decisions/src/fair-admission.ts
@@ -30,10 +30,10 @@
  * costs less than its share of the work, because a smaller batch runs faster
  * steps.
  *
- * The factor is three according to the measurement `decisions-saturation`: with
- * two, interactive p99 at 1.5 times capacity is three times that at 0.8; with
- * three it is 1.3 times. A factor of 3.5 costs a further two hundredths of the
- * useful work.
+ * In the measurement `decisions-saturation`, interactive p99 at 1.5 times
+ * capacity is three times that at 0.8 with a factor of two, and 1.3 times with a
+ * factor of three. A factor of 3.5 costs a further two hundredths of the useful
+ * work.
  */
 const INTERACTIVE_RESERVE_ROOTS = 3;
 
--- a/packages/decisions/src/test/arrival-admission_test.ts
+++ b/packages/decisions/src/test/arrival-admission_test.ts
@@ -23,11 +23,12 @@
 const OBJECTIVE_MILLISECONDS = 200;
 const LIMIT_MILLISECONDS = 1_000;
 /**
- * Accept backlog that was configured for a host before, and the current one.
+ * Former and current limit on connections that wait to be accepted by a host.
  */
 const LONG_BACKLOG = 1_024;
 const SHORT_BACKLOG = 16;
-const MEASURED = {from: 5_000, until: 20_000};
+/** First attempts in this period are counted; in milliseconds. */
+const COUNTED_PERIOD = {from: 5_000, until: 20_000};
 
 interface ReplayOptions {
   readonly admission: ArrivalAdmission;
@@ -43,7 +44,7 @@
   loadFactor,
   backlog = SHORT_BACKLOG,
   newConnectionEvery = 5,
-  from = MEASURED.from,
+  from = COUNTED_PERIOD.from,
 }: ReplayOptions): ReplayResult {
   const replay = new LoopReplay(admission, {
     costs: SMALL_HOST,
@@ -56,7 +57,7 @@
     newConnectionEvery,
     backlog,
   });
-  return replay.run(from, MEASURED.until);
+  return replay.run(from, COUNTED_PERIOD.until);
 }
 
 describe('a small host that receives more than its capacity', () => {
@@ -121,7 +122,7 @@
     'serves every request again after an overload, one new connection per %d callers',
     every => {
       // Guards against serving no callers after a burst because they queue behind
-      // an old backlog.
+      // an earlier backlog.
       const result = runReplay({
         admission: new BeginWithinLimit(),
         loadFactor: at => (at < 8_000 ? 3 : 0.6),
@@ -142,7 +143,9 @@
       loadFactor: () => 6,
     });
     expect(result.refusals).toBeGreaterThan(0);
-    expect(result.maximumHoldMilliseconds).toBeLessThan(LIMIT_MILLISECONDS);
+    expect(result.maximumRefusalDelayMilliseconds).toBeLessThan(
+      LIMIT_MILLISECONDS,
+    );
   });
 });
 
@@ -170,14 +173,14 @@
  * Creates a policy that has recorded answers at these intervals while the loop
  * was busy.
  */
-function afterAnswers(pace: readonly number[]): BeginWithinLimit {
+function afterAnswers(answerIntervals: readonly number[]): BeginWithinLimit {
   const admission = new BeginWithinLimit();
   const load = {
     busyMilliseconds: BUSY_MILLISECONDS,
     unansweredRequests: UNANSWERED_REQUESTS,
   };
   let now = 0;
-  for (const interval of [0, ...pace]) {
+  for (const interval of [0, ...answerIntervals]) {
     now += interval;
     admission.recordAnswerStart(load, now);
   }
@@ -187,12 +190,12 @@
 describe('BeginWithinLimit', () => {
   it('starts every request if the loop has paused, whatever happened before', () => {
     fc.assert(
-      fc.property(arrivals, intervals, (arrived, pace) => {
+      fc.property(arrivals, intervals, (arrived, answerIntervals) => {
         const load = {
           busyMilliseconds: 0,
           unansweredRequests: UNANSWERED_REQUESTS,
         };
-        const plan = afterAnswers(pace).plan(arrived, load, 1_000);
+        const plan = afterAnswers(answerIntervals).plan(arrived, load, 1_000);
         expect(plan).toEqual({begun: arrived, refused: []});
       }),
     );
@@ -204,14 +207,18 @@
         arrivals,
         intervals,
         fc.integer({min: 1, max: 400}),
-        (arrived, pace, more) => {
+        (arrived, answerIntervals, more) => {
           const load = {
             busyMilliseconds: BUSY_MILLISECONDS,
             unansweredRequests: 2,
           };
-          const faster = afterAnswers(pace).plan(arrived, load, 1_000);
+          const faster = afterAnswers(answerIntervals).plan(
+            arrived,
+            load,
+            1_000,
+          );
           const slower = afterAnswers(
-            pace.map(interval => interval + more),
+            answerIntervals.map(interval => interval + more),
           ).plan(arrived, load, 1_000);
           expect(slower.begun.length).toBeLessThanOrEqual(faster.begun.length);
         },
@@ -225,12 +232,12 @@
         arrivals,
         intervals,
         fc.integer({min: 0, max: 20}),
-        (arrived, pace, unansweredRequests) => {
+        (arrived, answerIntervals, unansweredRequests) => {
           const load = {
             busyMilliseconds: BUSY_MILLISECONDS,
             unansweredRequests,
           };
-          const {begun, refused} = afterAnswers(pace).plan(
+          const {begun, refused} = afterAnswers(answerIntervals).plan(
             arrived,
             load,
             1_000,
@@ -250,13 +257,17 @@
     // Guards against refusing every request while the loop is kept busy by
     // something other than requests.
     fc.assert(
-      fc.property(arrivals, intervals, (arrived, pace) => {
+      fc.property(arrivals, intervals, (arrived, answerIntervals) => {
         fc.pre(arrived.length > 0);
         const load = {
           busyMilliseconds: BUSY_MILLISECONDS,
           unansweredRequests: 0,
         };
-        const {begun} = afterAnswers(pace).plan(arrived, load, 1_000);
+        const {begun} = afterAnswers(answerIntervals).plan(
+          arrived,
+          load,
+          1_000,
+        );
         expect(begun.length).toBeGreaterThan(0);
       }),
     );
@@ -270,10 +281,10 @@
       unansweredRequests: UNANSWERED_REQUESTS,
     };
     const admission = afterAnswers(Array.from({length: 200}, () => 95));
-    const young = {...ANSWERED, receivedAt: 960};
-    const old = {...ANSWERED, receivedAt: 940};
-    expect(admission.plan([young], load, 1_000).begun).toEqual([young]);
-    expect(admission.plan([old], load, 1_000).begun).toEqual([]);
+    const recent = {...ANSWERED, receivedAt: 960};
+    const earlier = {...ANSWERED, receivedAt: 940};
+    expect(admission.plan([recent], load, 1_000).begun).toEqual([recent]);
+    expect(admission.plan([earlier], load, 1_000).begun).toEqual([]);
   });
 
   it('ignores late answers while the loop pauses', () => {
--- a/packages/decisions/src/test/link-delay_test.ts
+++ b/packages/decisions/src/test/link-delay_test.ts
@@ -24,7 +24,7 @@
   private now = 0;
   private congestedFrom = Infinity;
   private calls: OpenCall[] = [];
-  private expired = 0;
+  private timedOut = 0;
 
   constructor(private readonly idleLimit: number) {}
 
@@ -33,7 +33,7 @@
    * start of the run.
    */
   run(milliseconds: number, waitAt: (elapsed: number) => number): this {
-    this.expired = 0;
+    this.timedOut = 0;
     for (
       let elapsed = 0;
       elapsed < milliseconds;
@@ -50,8 +50,8 @@
   }
 
   /** Calls that timed out during the last run. */
-  get expiredCalls(): number {
-    return this.expired;
+  get timedOutCalls(): number {
+    return this.timedOut;
   }
 
   get milliseconds(): number {
@@ -86,7 +86,7 @@
       }
       if (expiresAt <= this.now) {
         this.delay.recordTimeout(expiresAt - startedAt);
-        this.expired++;
+        this.timedOut++;
         return false;
       }
       return true;
@@ -115,7 +115,7 @@
         (idleLimit, wait) => {
           const replay = new LinkReplay(idleLimit).run(1_000, () => 0);
           replay.run(6_000, () => wait);
-          expect(replay.run(10_000, () => wait).expiredCalls).toBe(0);
+          expect(replay.run(10_000, () => wait).timedOutCalls).toBe(0);
         },
       ),
     );
@@ -131,8 +131,8 @@
           const wait = sawtooth(lowest, highest);
           const replay = new LinkReplay(idleLimit).run(6_000, wait);
           const calls = 10_000 / CALL_INTERVAL_MILLISECONDS;
-          const {expiredCalls} = replay.run(10_000, wait);
-          expect(expiredCalls).toBeLessThan(0.05 * calls);
+          const {timedOutCalls} = replay.run(10_000, wait);
+          expect(timedOutCalls).toBeLessThan(0.05 * calls);
         },
       ),
     );
@@ -154,19 +154,19 @@
 });
 
 describe('LinkDelay', () => {
-  const ends = fc.array(
+  const outcomes = fc.array(
     fc.record({
       milliseconds: fc.double({min: 0, max: 10_000, noNaN: true}),
-      hasCome: fc.boolean(),
+      hasArrived: fc.boolean(),
     }),
   );
 
   it('is zero on an idle link, and never exceeds the maximum', () => {
     fc.assert(
-      fc.property(ends, list => {
+      fc.property(outcomes, list => {
         const delay = new LinkDelay();
-        for (const {hasCome, milliseconds} of list) {
-          if (hasCome) {
+        for (const {hasArrived, milliseconds} of list) {
+          if (hasArrived) {
             delay.recordArrival(milliseconds);
           } else {
             delay.recordTimeout(milliseconds);
--- a/packages/decisions/src/test/load-core-properties_test.ts
+++ b/packages/decisions/src/test/load-core-properties_test.ts
@@ -271,11 +271,11 @@
   it('loses no request, keeps all limits, uses no leaving endpoint, and never revises a refusal', () => {
     fc.assert(
       fc.property(actions, list => {
-        const player = new ActionRunner(policies);
+        const runner = new ActionRunner(policies);
         for (const action of list) {
-          player.run(action);
+          runner.run(action);
         }
-        player.drain();
+        runner.drain();
       }),
       {seed: 6, numRuns: 300},
     );
--- a/packages/decisions/src/test/loop-replay.ts
+++ b/packages/decisions/src/test/loop-replay.ts
@@ -38,7 +38,7 @@
   readonly newConnectionEvery: number;
   /**
    * New connections that can wait to be accepted; further ones are dropped
-   * unnoticed.
+   * without notifying the caller.
    */
   readonly backlog: number;
 }
@@ -49,7 +49,7 @@
   readonly servedPerSecond: number;
   readonly refusals: number;
   /** Longest time from reading a request to its refusal, in milliseconds. */
-  readonly maximumHoldMilliseconds: number;
+  readonly maximumRefusalDelayMilliseconds: number;
 }
 
 interface Attempt extends ArrivedRequest {
@@ -81,7 +81,8 @@
   private scheduled: Attempt[] = [];
   private waiting: Attempt[] = [];
   private answers: Answer[] = [];
-  private readonly holds: {readonly firstAt: number; readonly took: number}[] =
+  /** Delay of each refusal, in milliseconds. */
+  private readonly delays: {readonly firstAt: number; readonly took: number}[] =
     [];
   private readonly answered: {readonly firstAt: number}[] = [];
 
@@ -102,11 +103,14 @@
       firstAt >= from && firstAt < until;
     const seconds = (until - from) / 1_000;
     const answered = this.answered.filter(isCounted);
-    const holds = this.holds.filter(isCounted);
+    const delays = this.delays.filter(isCounted);
     return {
       servedPerSecond: answered.length / seconds,
-      refusals: holds.length,
-      maximumHoldMilliseconds: Math.max(0, ...holds.map(({took}) => took)),
+      refusals: delays.length,
+      maximumRefusalDelayMilliseconds: Math.max(
+        0,
+        ...delays.map(({took}) => took),
+      ),
     };
   }
 
@@ -115,17 +119,20 @@
     this.addDueCallers();
     const ready = this.answers.filter(({readyAt}) => readyAt <= startedAt);
     const connected = this.connecting.shift();
-    const kept = this.onIdleConnections.splice(0);
+    const fromIdleConnections = this.onIdleConnections.splice(0);
     if (connected === undefined) {
       this.lastEmptyAcceptQueueAt = startedAt;
-      if (kept.length + ready.length + this.waiting.length === 0) {
+      if (
+        fromIdleConnections.length + ready.length + this.waiting.length ===
+        0
+      ) {
         this.pause();
         return;
       }
     }
     this.now += this.pattern.costs.turn;
     this.deliverAnswers(ready);
-    for (const attempt of kept) {
+    for (const attempt of fromIdleConnections) {
       this.read(attempt, attempt.sentAt);
     }
     if (connected !== undefined) {
@@ -206,13 +213,13 @@
     }
   }
 
-  private read(taken: Attempt, estimatedSentAt: number): void {
+  private read(attempt: Attempt, estimatedSentAt: number): void {
     this.now += this.pattern.costs.read;
-    const leftAt = taken.sentAt + this.pattern.patienceMilliseconds;
+    const leftAt = attempt.sentAt + this.pattern.patienceMilliseconds;
     if (leftAt < this.now) {
-      this.retry(taken, leftAt);
+      this.retry(attempt, leftAt);
     } else {
-      this.waiting.push({...taken, receivedAt: estimatedSentAt});
+      this.waiting.push({...attempt, receivedAt: estimatedSentAt});
     }
   }
 
@@ -232,7 +239,7 @@
     for (const {request, retryAfterMilliseconds} of refused) {
       this.now += costs.refuse;
       const {firstAt, receivedAt} = request;
-      this.holds.push({firstAt, took: this.now - receivedAt});
+      this.delays.push({firstAt, took: this.now - receivedAt});
       this.retry(request, this.now + retryAfterMilliseconds);
     }
   }
--- a/packages/decisions/src/test/overload_test.ts
+++ b/packages/decisions/src/test/overload_test.ts
@@ -85,13 +85,13 @@
     expect(refused[0]).toMatchObject({
       reason: RefusalReason.DeadlineUnreachable,
     });
-    const returns = refused.map(decision =>
+    const retryDelays = refused.map(decision =>
       decision.kind === DecisionKind.Refuse
         ? decision.retryAfterMilliseconds
         : 0,
     );
     // The retries are spread over time.
-    expect(returns.at(-1)).toBeGreaterThan(returns[0] ?? Infinity);
+    expect(retryDelays.at(-1)).toBeGreaterThan(retryDelays[0] ?? Infinity);
   });
 
   it('shifts to another data centre, leaving a quarter of its slots free', () => {
--- a/packages/decisions/src/test/rotation-policy_test.ts
+++ b/packages/decisions/src/test/rotation-policy_test.ts
@@ -37,12 +37,12 @@
  */
 function runPhases(
   policy: RotationPolicy,
-  loads: readonly LoadPhase[],
+  phases: readonly LoadPhase[],
   check: () => void,
 ): void {
   let now = 0;
   let connections = 0;
-  for (const {isOverloaded, seconds, connectionsPerSecond} of loads) {
+  for (const {isOverloaded, seconds, connectionsPerSecond} of phases) {
     for (let until = now + seconds * 1_000; now < until;) {
       now += OBSERVATION_INTERVAL_MILLISECONDS;
       connections +=
@@ -76,10 +76,10 @@
     rate => {
       // Guards against one organisation that is not served while other hosts have
       // capacity.
-      const staying = runOtherOrganisations(() => new AlwaysServing()).add(
+      const baseline = runOtherOrganisations(() => new AlwaysServing()).add(
         large(rate),
       );
-      const share = staying
+      const share = baseline
         .run(SPREADING_SECONDS)
         .run(8)
         .shareOf('large').share;
@@ -107,18 +107,18 @@
   it('does not keep a host overloaded by retries alone', () => {
     // Guards against a host that stays overloaded under a load that it could
     // handle.
-    const burst = (createPolicy: () => RotationPolicy) =>
+    const runBurst = (createPolicy: () => RotationPolicy) =>
       runOtherOrganisations(createPolicy)
         .add(large(300))
         .run(2)
         .add(large(70))
         .run(10);
-    const staying = burst(() => new AlwaysServing());
-    expect(staying.run(8).shareOf('large').share).toBeLessThan(
+    const baseline = runBurst(() => new AlwaysServing());
+    expect(baseline.run(8).shareOf('large').share).toBeLessThan(
       MINIMUM_SERVED_SHARE,
     );
     expect(
-      burst(createWithdrawPolicy).run(8).shareOf('large').share,
+      runBurst(createWithdrawPolicy).run(8).shareOf('large').share,
     ).toBeGreaterThan(0.95);
   });
 });
@@ -128,11 +128,11 @@
     // Guards against hosts that send callers to other hosts that are just as
     // overloaded.
     const flood = {...OTHERS, rate: 1_200};
-    const staying = new RotationReplay(HOSTS, () => new AlwaysServing());
+    const baseline = new RotationReplay(HOSTS, () => new AlwaysServing());
     const replay = new RotationReplay(HOSTS, createWithdrawPolicy);
-    const before = staying.add(flood).run(30).shareOf('others').share;
+    const baselineShare = baseline.add(flood).run(30).shareOf('others').share;
     const share = replay.add(flood).run(30).shareOf('others').share;
-    expect(share).toBeGreaterThanOrEqual(before);
+    expect(share).toBeGreaterThanOrEqual(baselineShare);
     replay.add(OTHERS).run(20);
     expect(replay.acceptingHosts).toBe(HOSTS);
     expect(replay.run(5).shareOf('others').share).toBeGreaterThan(0.95);
@@ -144,7 +144,7 @@
       // Guards against a data centre whose hosts are all overloaded and leave
       // the rotation in turn.
       const policy = new WithdrawWhileOverloaded();
-      let refused = 0;
+      let notReadyMilliseconds = 0;
       const idle = {
         isOverloaded: false,
         seconds: 75,
@@ -152,11 +152,11 @@
       };
       const full = {...idle, isOverloaded: true, seconds: 30};
       runPhases(policy, [idle, full, idle], () => {
-        refused += policy.acceptsConnections
+        notReadyMilliseconds += policy.acceptsConnections
           ? 0
           : OBSERVATION_INTERVAL_MILLISECONDS;
       });
-      expect(refused / 1_000).toBeLessThanOrEqual(180 / 8);
+      expect(notReadyMilliseconds / 1_000).toBeLessThanOrEqual(180 / 8);
       expect(policy.closesConnections && policy.acceptsConnections).toBe(false);
     },
   );
@@ -174,17 +174,17 @@
     const load = {isOverloaded: true, seconds: on, connectionsPerSecond: 10};
     const idle = {...load, isOverloaded: false, seconds: off};
     const rounds = Array.from({length: Math.ceil(120 / (on + off))});
-    let refused = 0;
+    let notReadyMilliseconds = 0;
     runPhases(
       policy,
       rounds.flatMap(() => [load, idle]),
       () => {
-        refused += policy.acceptsConnections
+        notReadyMilliseconds += policy.acceptsConnections
           ? 0
           : OBSERVATION_INTERVAL_MILLISECONDS;
       },
     );
-    expect(refused / 1_000).toBeLessThan(120 / 2);
+    expect(notReadyMilliseconds / 1_000).toBeLessThan(120 / 2);
   });
 });
 
@@ -217,7 +217,7 @@
 });
 
 describe('any load', () => {
-  const loads = fc.array(
+  const loadPhases = fc.array(
     fc.record({
       isOverloaded: fc.boolean(),
       seconds: fc.integer({min: 1, max: 12}),
@@ -228,9 +228,9 @@
 
   it('closes connections only while new ones go to other hosts', () => {
     fc.assert(
-      fc.property(loads, rows => {
+      fc.property(loadPhases, phases => {
         const policy = new WithdrawWhileOverloaded();
-        runPhases(policy, rows, () => {
+        runPhases(policy, phases, () => {
           expect(policy.closesConnections && policy.acceptsConnections).toBe(
             false,
           );
@@ -241,11 +241,11 @@
 
   it('returns after the overload', () => {
     fc.assert(
-      fc.property(loads, rows => {
+      fc.property(loadPhases, phases => {
         const policy = new WithdrawWhileOverloaded();
         const seconds = MAXIMUM_RETURN_MILLISECONDS / 1_000;
         const idle = {isOverloaded: false, seconds, connectionsPerSecond: 0};
-        runPhases(policy, [...rows, idle], () => undefined);
+        runPhases(policy, [...phases, idle], () => undefined);
         expect(policy.acceptsConnections).toBe(true);
       }),
     );
--- a/packages/decisions/src/test/standing-delay_test.ts
+++ b/packages/decisions/src/test/standing-delay_test.ts
@@ -9,8 +9,8 @@
 let now: number;
 
 /** Records the delays in order, one every 50 ms. */
-function recordDelays(...rows: readonly number[]): boolean {
-  for (const milliseconds of rows) {
+function recordDelays(...delays: readonly number[]): boolean {
+  for (const milliseconds of delays) {
     now += SAMPLE_INTERVAL_MILLISECONDS;
     delay.recordArrival(now, milliseconds);
   }
--- a/packages/runtime/src/test/line-reporter_test.ts
+++ b/packages/runtime/src/test/line-reporter_test.ts
@@ -81,12 +81,12 @@
     log.info('after', {});
     drainWrites();
     drainWrites();
-    const notices = [
+    const reports = [
       ...linesOf('log lines suppressed'),
       ...linesOf('log lines dropped'),
     ];
-    const missingLines = notices.reduce((sum, {lines}) => sum + lines, 0);
-    const accountedLines = missingLines + written.length - notices.length;
+    const missingLines = reports.reduce((sum, {lines}) => sum + lines, 0);
+    const accountedLines = missingLines + written.length - reports.length;
     expect(accountedLines).toBe(2 * FLOOD_LINES + 1);
   });
 });
