--- a/packages/budgets/src/test/unanswered-loans_test.ts
+++ b/packages/budgets/src/test/unanswered-loans_test.ts
@@ -6,7 +6,7 @@
 describe('UnansweredLoans', () => {
   it('credits a loan whose answer was lost when its record is read', () => {
     // Guards against refusals after an outage. A lender deducted tokens from its account
-    // and froze before it answered, so that no account held them.
+    // and stalled before it answered, so that no account held them.
     const loans = new UnansweredLoans();
     loans.requested('a');
     expect(loans.answerLost('a')).toBe(0);
--- a/packages/budgets/src/unanswered-loans.ts
+++ b/packages/budgets/src/unanswered-loans.ts
@@ -15,8 +15,8 @@
 /**
  * Recovers loans whose answer was lost. The lender has already deducted the tokens from
  * its account; its record on the log delivers them. Hosts lend to each other all the
- * time, and lenders freeze or are partitioned. Without this recovery no account would
- * hold the tokens.
+ * time, and a lender can stall or be cut off by a network partition. Without this
+ * recovery no account would hold the tokens.
  *
  * Each loan is credited once, by its answer or by its record. The answer takes
  * precedence until the call is abandoned; after that, the first of the two does.
--- a/packages/decisions/src/endpoint-health.ts
+++ b/packages/decisions/src/endpoint-health.ts
@@ -7,8 +7,8 @@
  */
 const RISE_TIME_CONSTANT_MILLISECONDS = 2_000;
 /**
- * Time constant with which the slowness falls, in milliseconds. A slow endpoint
- * recovers its rating more slowly than it loses it.
+ * Time constant with which the slowness falls, in milliseconds. It is longer, so
+ * that an endpoint is considered slow sooner than it is considered recovered.
  */
 const FALL_TIME_CONSTANT_MILLISECONDS = 4_000;
 /** Maximum weight of one sample after a period without samples. */
--- a/packages/decisions/src/link-load.ts
+++ b/packages/decisions/src/link-load.ts
@@ -39,6 +39,7 @@
  * little capacity callers leave.
  */
 const MINIMUM_ANSWER_BYTES = 16_384;
+
 /**
  * Detects whether callers fill a host's inbound link. When callers of one
  * organisation are routed to one host, their request bodies can amount to 1.3
@@ -109,8 +110,8 @@
    *
    * @param now Monotonic clock, in milliseconds.
    */
-  observe(now: number, use: LinkTraffic): void {
-    this.samples.push({at: now, ...use});
+  observe(now: number, traffic: LinkTraffic): void {
+    this.samples.push({at: now, ...traffic});
     const oldest = now - WINDOW_MILLISECONDS;
     while ((this.samples[1]?.at ?? Infinity) <= oldest) {
       this.samples.shift();
@@ -138,7 +139,7 @@
           this.capacityBytesPerSecond;
   }
 
-  private rate(of: (use: LinkTraffic) => number): number {
+  private rate(of: (traffic: LinkTraffic) => number): number {
     const [first] = this.samples;
     const last = this.samples.at(-1);
     if (
--- a/packages/decisions/src/test/rolling-order-planner_test.ts
+++ b/packages/decisions/src/test/rolling-order-planner_test.ts
@@ -38,7 +38,7 @@
   roles: new Map(),
 };
 
-function planner(unfencedOrdersFrom = 0): RollingOrderPlanner {
+function createPlanner(unfencedOrdersFrom = 0): RollingOrderPlanner {
   return new RollingOrderPlanner({
     weightBudget: new WeightBudget(BURST, FETCH_INTERVAL_MILLISECONDS, 0),
     firstFencingNumber: FIRST_FENCING_NUMBER,
@@ -59,8 +59,8 @@
 }
 
 describe('RollingOrderPlanner', () => {
-  it('updates every engine to the version, a quarter at a time', () => {
-    const plan = planner();
+  it('updates every engine to the new version, a quarter at a time', () => {
+    const planner = createPlanner();
     const engines = Array.from({length: 8}, (_, position) => engine(position));
     const numbers: number[] = [];
     for (
@@ -68,12 +68,12 @@
       now < 20 * FETCH_INTERVAL_MILLISECONDS;
       now += FETCH_INTERVAL_MILLISECONDS
     ) {
-      const orders = plan.plan({engines, target: NEW_VERSION}, now);
+      const orders = planner.plan({engines, target: NEW_VERSION}, now);
       expect(orders.length).toBeLessThanOrEqual(2);
       for (const order of orders) {
         numbers.push(order.fencingNumber);
         applyOrder(engines, order);
-        plan.ended(order, OrderOutcome.Done, now);
+        planner.ended(order, OrderOutcome.Done, now);
       }
     }
     expect(engines.map(each => each.models[0]?.version)).toEqual(
@@ -91,7 +91,7 @@
       ],
       roles: new Map(),
     };
-    const orders = planner().plan({engines: [engine(0)], target}, 0);
+    const orders = createPlanner().plan({engines: [engine(0)], target}, 0);
     expect(orders).toMatchObject([
       {kind: PlannedOrderKind.LoadModel, subject: 'tutor-70b@1'},
     ]);
@@ -102,33 +102,36 @@
   // would restore an old version. Nothing more is ordered until the lost order
   // can no longer be in progress.
   it('waits after an unknown outcome if fencing numbers are ignored', () => {
-    const plan = planner();
+    const planner = createPlanner();
     const engines = [engine(0, {checksFencingNumbers: false})];
-    const [order] = plan.plan({engines, target: NEW_VERSION}, 0);
+    const [order] = planner.plan({engines, target: NEW_VERSION}, 0);
     if (order === undefined) {
       throw new Error('no order');
     }
-    plan.ended(order, OrderOutcome.Unknown, 1_000);
+    planner.ended(order, OrderOutcome.Unknown, 1_000);
     const view = {engines, target: NEW_VERSION};
-    expect(plan.plan(view, 100_000)).toEqual([]);
-    expect(plan.plan(view, 121_000)).toHaveLength(1);
+    expect(planner.plan(view, 100_000)).toEqual([]);
+    expect(planner.plan(view, 121_000)).toHaveLength(1);
   });
 
   it('sends no orders at first to engines that ignore fencing numbers', () => {
     const engines = [engine(0, {checksFencingNumbers: false}), engine(1)];
-    const orders = planner(50_000).plan({engines, target: NEW_VERSION}, 0);
+    const orders = createPlanner(50_000).plan(
+      {engines, target: NEW_VERSION},
+      0,
+    );
     expect(orders.map(({endpoint}) => endpoint)).toEqual(['engine-1']);
   });
 
   it('plans no orders after being fenced', () => {
-    const plan = planner();
+    const planner = createPlanner();
     const view = {engines: [engine(0)], target: NEW_VERSION};
-    const [order] = plan.plan(view, 0);
+    const [order] = planner.plan(view, 0);
     if (order === undefined) {
       throw new Error('no order');
     }
-    plan.ended(order, OrderOutcome.Fenced, 1);
-    expect(plan.plan(view, 1_000_000)).toEqual([]);
+    planner.ended(order, OrderOutcome.Fenced, 1);
+    expect(planner.plan(view, 1_000_000)).toEqual([]);
   });
 
   it('never fetches beyond the limit', () => {
--- a/packages/runtime/src/test/system-clock_test.ts
+++ b/packages/runtime/src/test/system-clock_test.ts
@@ -4,7 +4,7 @@
 
 describe('SystemClock', () => {
   it.each([[2 ** 31], [1e15]])(
-    'sleeps although a timer does not support %d ms',
+    'does not return at once from a sleep of %d ms, longer than a timer supports',
     async milliseconds => {
       // Guards against answers that are cut because a shutdown with a very long grace
       // period ends at once: a longer timer than the maximum fires immediately.
