--- a/packages/keeper/src/book-replicator.ts
+++ b/packages/keeper/src/book-replicator.ts
@@ -27,8 +27,9 @@
   ) {}
 
   /**
-   * Sends a change and waits until a second place has stored it. The caller may
-   * act on the change only if the result is `Applied`.
+   * Replicates a change to the witnesses of its grant, or to the log if the
+   * grant has none, and waits for the result. The caller may act on the change
+   * only if the result is `Applied`.
    */
   async commit(
     holding: GrantHolding,
--- a/packages/keeper/src/fold-listener.ts
+++ b/packages/keeper/src/fold-listener.ts
@@ -11,7 +11,7 @@
 export class FoldListener extends LedgerListener {
   constructor(
     private readonly self: string,
-    private readonly grants: GrantManager,
+    private readonly grantManager: GrantManager,
     private readonly witnessBook: WitnessBook,
     private readonly registry: RequestRegistry,
     private readonly eventLog: EventLog,
@@ -40,7 +40,9 @@
         }
         return;
       case 'strandedRelease':
-        this.markClosed(this.grants.holding(organisation, kind.value.grantId));
+        this.markClosed(
+          this.grantManager.holding(organisation, kind.value.grantId),
+        );
         this.witnessBook.removeGrant(kind.value.grantId);
         return;
       default:
@@ -59,7 +61,7 @@
     writer: string,
     kind: VerdictKind,
   ): void {
-    const holding = this.grants.holding(organisation, bill.grantId);
+    const holding = this.grantManager.holding(organisation, bill.grantId);
     if (kind === VerdictKind.Accepted) {
       this.witnessBook.removeFoldedBill(bill.grantId, bill.requestId);
       if (holding !== undefined) {
@@ -103,19 +105,19 @@
 
   private handleTransfer(organisation: string, transfer: Transfer): void {
     const {fromGrant, transferId, toHolder} = transfer;
-    this.grants
+    this.grantManager
       .holding(organisation, fromGrant)
       ?.book.removeFoldedTransfer(transferId);
     this.witnessBook.removeFoldedTransfer(fromGrant, transferId);
     if (toHolder === this.self) {
       // The answer of the sending holder may have been lost; the log entry is
       // sufficient to accept the tokens.
-      this.grants.acceptTransfer(organisation, transfer);
+      this.grantManager.acceptTransfer(organisation, transfer);
     }
   }
 
   private handleReclaim(organisation: string, reclaim: Reclaim): void {
-    const holding = this.grants.holding(organisation, reclaim.grantId);
+    const holding = this.grantManager.holding(organisation, reclaim.grantId);
     this.markClosed(holding);
     reclaim.settled.forEach(bill => {
       holding?.book.removeFoldedBill(bill.requestId);
--- a/packages/keeper/src/grant-holding.ts
+++ b/packages/keeper/src/grant-holding.ts
@@ -15,10 +15,10 @@
 
   /** @param witness The witness in force on the log; empty if there is none. */
   constructor(
-    opening: GrantTerms,
+    terms: GrantTerms,
     public witness: string,
   ) {
-    this.book = new HolderBook(opening);
+    this.book = new HolderBook(terms);
   }
 
   get grantId(): string {
--- a/packages/keeper/src/grant-manager.ts
+++ b/packages/keeper/src/grant-manager.ts
@@ -14,8 +14,8 @@
 import {InterruptibleSleep} from './interruptible-sleep.js';
 
 /**
- * Length of a network partition, in seconds, that grants should cover: the
- * users' pages report that regions are sometimes partitioned for an hour.
+ * Length of a network partition, in seconds, that grants should cover: users
+ * report that regions are sometimes partitioned for an hour.
  */
 export const EXPECTED_PARTITION_SECONDS = 3_600;
 
--- a/packages/keeper/src/keeper-inspection.ts
+++ b/packages/keeper/src/keeper-inspection.ts
@@ -28,7 +28,7 @@
     private readonly replicas: LedgerReplicas,
     private readonly health: PlatformHealth,
     private readonly appender: LedgerAppender,
-    private readonly grants: GrantManager,
+    private readonly grantManager: GrantManager,
     private readonly witnessBook: WitnessBook,
     private readonly registry: RequestRegistry,
     private readonly bills: BillObserver,
@@ -153,7 +153,7 @@
   }
 
   private heldGrants() {
-    return this.grants.all.flatMap(grants =>
+    return this.grantManager.all.flatMap(grants =>
       [...grants.holdings.values()].map(holding => ({
         grant: holding.grantId,
         organisation: grants.organisation,
--- a/packages/keeper/src/keeper-parts.ts
+++ b/packages/keeper/src/keeper-parts.ts
@@ -61,7 +61,7 @@
   readonly membership: MembershipTable;
   readonly appender: LedgerAppender;
   readonly links: WitnessLinks;
-  readonly grants: GrantManager;
+  readonly grantManager: GrantManager;
   readonly grantMaintainer: GrantMaintainer;
   readonly registry: RequestRegistry;
   readonly requests: RequestService;
@@ -109,17 +109,17 @@
       eventLog,
     );
     const grantDependencies = this.grantDependencies(bills);
-    this.grants = new GrantManager(grantDependencies);
+    this.grantManager = new GrantManager(grantDependencies);
     this.grantMaintainer = new GrantMaintainer(
       grantDependencies,
-      this.grants,
+      this.grantManager,
       options.heartbeatLimitMilliseconds,
     );
     this.registry = new RequestRegistry(clock);
     this.replicas.addListener(
       new FoldListener(
         self.incarnation,
-        this.grants,
+        this.grantManager,
         this.witnessBook,
         this.registry,
         eventLog,
@@ -128,14 +128,14 @@
     const settlements = new SettlementService(
       this.appender,
       grantDependencies.replicator,
-      this.grants,
+      this.grantManager,
       this.registry,
     );
     this.requests = new RequestService(
       this.membership,
       this.replicas,
       grantDependencies.replicator,
-      this.grants,
+      this.grantManager,
       new ClaimService(
         this.appender,
         this.replicas,
@@ -158,7 +158,7 @@
       this.membership,
       this.peers,
       this.replicas,
-      this.grants,
+      this.grantManager,
       grantDependencies.replicator,
       this.appender,
       clock,
@@ -211,7 +211,7 @@
       this.replicas,
       this.health,
       this.appender,
-      this.grants,
+      this.grantManager,
       this.witnessBook,
       this.registry,
       bills,
--- a/packages/keeper/src/keeper-review.ts
+++ b/packages/keeper/src/keeper-review.ts
@@ -24,7 +24,7 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.review(signal);
-      await this.parts.grants.waitForDemand(
+      await this.parts.grantManager.waitForDemand(
         REVIEW_INTERVAL_MILLISECONDS,
         signal,
       );
@@ -50,7 +50,7 @@
       ?.organisations ?? []) {
       this.reviewOrganisation(organisation);
     }
-    for (const grants of parts.grants.all) {
+    for (const grants of parts.grantManager.all) {
       parts.grantMaintainer.review(grants);
       if (this.needsTokensFromPeers(grants)) {
         void parts.transfers.requestTokens(grants, signal);
@@ -60,7 +60,7 @@
   }
 
   private reviewOrganisation(organisation: Organisation): void {
-    const {membership, replicas, health, grants} = this.parts;
+    const {membership, replicas, health, grantManager} = this.parts;
     const isHolder =
       membership.holderOf(organisation.name) === membership.self.incarnation;
     const stream = replicas.streamOf(organisation.name);
@@ -73,7 +73,7 @@
       return;
     }
     this.creditOpeningBudget(organisation);
-    grants.review(organisation.name);
+    grantManager.review(organisation.name);
   }
 
   /**
--- a/packages/keeper/src/keeper.ts
+++ b/packages/keeper/src/keeper.ts
@@ -78,7 +78,7 @@
    * progress, returns the grants, and then ends all tasks.
    */
   async close(): Promise<void> {
-    const {membership, registry, grants, appender} = this.parts;
+    const {membership, registry, grantManager, appender} = this.parts;
     membership.startLeaving();
     await this.parts.gossip.announce();
     await this.waitUntil(
@@ -90,8 +90,9 @@
     );
     await this.waitUntil(
       () =>
-        grants.all.every(organisation => organisation.holdings.size === 0) &&
-        appender.pendingEntries === 0,
+        grantManager.all.every(
+          organisation => organisation.holdings.size === 0,
+        ) && appender.pendingEntries === 0,
       RETURN_TIMEOUT_MILLISECONDS,
     );
     await this.kill();
--- a/packages/keeper/src/membership-table.ts
+++ b/packages/keeper/src/membership-table.ts
@@ -37,7 +37,7 @@
 export class MembershipTable {
   private readonly keepers = new Map<string, PeerState>();
   private ownRouters = new Map<string, ProcessIdentity>();
-  private readonly platform = new PlatformListing();
+  private readonly platformListing = new PlatformListing();
   private ownState = HostState.LIVE;
   private readonly listeners: (() => void)[] = [];
   private lastMembershipJson = '';
@@ -74,13 +74,13 @@
 
   /** Applies the platform's host list as it was last read. */
   updateListing(listing: HostListing): void {
-    this.platform.update(listing);
+    this.platformListing.update(listing);
     this.refresh();
   }
 
   /** Addresses of the keepers on the platform's host list, without this one. */
   get listedAddresses(): readonly {address: string; dataCenter: string}[] {
-    return this.platform.hosts
+    return this.platformListing.hosts
       .filter(host => host.host !== this.self.host)
       .map(host => ({
         address: host.keeperAddress,
@@ -148,7 +148,7 @@
     const identity = this.keepers.get(incarnation)?.identity;
     return identity === undefined
       ? undefined
-      : this.platform.withReachableAddress(identity);
+      : this.platformListing.withReachableAddress(identity);
   }
 
   /** Other keepers that are reachable and not leaving. */
@@ -221,7 +221,9 @@
           state === HostState.LIVE &&
           this.millisecondsSinceHeartbeat(identity.incarnation) <= milliseconds,
       )
-      .map(keeper => this.platform.withReachableAddress(keeper.identity));
+      .map(keeper =>
+        this.platformListing.withReachableAddress(keeper.identity),
+      );
   }
 
   /**
@@ -231,7 +233,7 @@
   get dataCenters(): ReadonlySet<string> {
     return new Set([
       this.self.dataCenter,
-      ...this.platform.liveDataCenters,
+      ...this.platformListing.liveDataCenters,
       ...[...this.keepers.values()].map(keeper => keeper.identity.dataCenter),
     ]);
   }
@@ -250,7 +252,7 @@
   get membership(): Membership {
     const others = [...this.keepers.values()].map(keeper =>
       create(KeeperMemberSchema, {
-        identity: this.platform.withReachableAddress(keeper.identity),
+        identity: this.platformListing.withReachableAddress(keeper.identity),
         state: keeper.state,
         reachable: this.isReachable(keeper.identity.incarnation),
       }),
@@ -273,7 +275,7 @@
       routers: this.ownRouterMembers,
       configurationVersion,
       nextOffsets,
-      leavingEndpoints: [...this.platform.leavingEndpoints],
+      leavingEndpoints: [...this.platformListing.leavingEndpoints],
     });
   }
 
@@ -319,7 +321,7 @@
     for (const member of [
       ...this.ownRouterMembers,
       ...reachable.flatMap(keeper =>
-        this.platform.withReachableAddresses(keeper.routers),
+        this.platformListing.withReachableAddresses(keeper.routers),
       ),
     ]) {
       known.set(member.identity?.incarnation ?? '', member);
@@ -340,7 +342,7 @@
     );
     return [
       ...new Set([
-        ...this.platform.leavingEndpoints,
+        ...this.platformListing.leavingEndpoints,
         ...reachable.flatMap(keeper => keeper.leavingEndpoints),
       ]),
     ].sort();
--- a/packages/keeper/src/recent-records.ts
+++ b/packages/keeper/src/recent-records.ts
@@ -27,7 +27,7 @@
   }
 
   /**
-   * Removes all records, for the case that the next one does not follow on
+   * Removes all records; called when the next record would leave a gap after
    * them.
    */
   clear(): void {
--- a/packages/keeper/src/reclaimer.ts
+++ b/packages/keeper/src/reclaimer.ts
@@ -19,7 +19,11 @@
  */
 export class Reclaimer {
   private readonly reclaiming = new Set<string>();
-  private readonly firstMissedAt = new Map<string, number>();
+  /**
+   * Time of the first check of each holder without any heartbeat, in
+   * milliseconds of the monotonic clock.
+   */
+  private readonly firstCheckedAt = new Map<string, number>();
   /**
    * Request identifiers of bills that were submitted for lost holders and not
    * folded yet.
@@ -97,17 +101,17 @@
 
   /**
    * Whether a holder has sent no heartbeat for longer than the timeout. For a
-   * holder without any heartbeat, the time starts with the first call.
+   * holder without any heartbeat, the time starts with the first check.
    */
   private isLost(holder: string): boolean {
-    const silence = this.membership.millisecondsSinceHeartbeat(holder);
-    if (Number.isFinite(silence)) {
-      this.firstMissedAt.delete(holder);
-      return silence > this.holderTimeoutMilliseconds;
+    const sinceHeartbeat = this.membership.millisecondsSinceHeartbeat(holder);
+    if (Number.isFinite(sinceHeartbeat)) {
+      this.firstCheckedAt.delete(holder);
+      return sinceHeartbeat > this.holderTimeoutMilliseconds;
     }
-    const firstMissed = this.firstMissedAt.get(holder) ?? this.now();
-    this.firstMissedAt.set(holder, firstMissed);
-    return this.now() - firstMissed > this.holderTimeoutMilliseconds;
+    const firstChecked = this.firstCheckedAt.get(holder) ?? this.now();
+    this.firstCheckedAt.set(holder, firstChecked);
+    return this.now() - firstChecked > this.holderTimeoutMilliseconds;
   }
 
   private reclaim(organisation: string, grantId: string, holder: string): void {
--- a/packages/keeper/src/request-service.ts
+++ b/packages/keeper/src/request-service.ts
@@ -45,7 +45,7 @@
     private readonly membership: MembershipTable,
     private readonly replicas: LedgerReplicas,
     private readonly replicator: BookReplicator,
-    private readonly grants: GrantManager,
+    private readonly grantManager: GrantManager,
     private readonly claims: ClaimService,
     private readonly registry: RequestRegistry,
     private readonly witnessBook: WitnessBook,
@@ -80,7 +80,10 @@
       return;
     }
     request.attempt = message.attempt;
-    const holding = this.grants.holding(request.organisation, request.grantId);
+    const holding = this.grantManager.holding(
+      request.organisation,
+      request.grantId,
+    );
     const change = holding?.book.recordDispatch(
       request.requestId,
       message.attempt,
@@ -119,7 +122,10 @@
     if (!request.idempotent && request.phase !== RequestPhase.Reserving) {
       this.registry.addUnusedClaim(message.requestId);
     }
-    const holding = this.grants.holding(request.organisation, request.grantId);
+    const holding = this.grantManager.holding(
+      request.organisation,
+      request.grantId,
+    );
     const change = holding?.book.release(message.requestId);
     if (holding !== undefined && change !== undefined) {
       await this.replicator.commit(holding, change);
@@ -174,7 +180,10 @@
   ): BeginAnswer {
     known.router = router;
     this.registry.enterPhase(known, RequestPhase.Running);
-    const holding = this.grants.holding(known.organisation, known.grantId);
+    const holding = this.grantManager.holding(
+      known.organisation,
+      known.grantId,
+    );
     const change = holding?.book.reassignRouter(known.requestId, router);
     if (holding !== undefined && change !== undefined) {
       void this.replicator.commit(holding, change);
@@ -275,7 +284,7 @@
     begin: BeginRequest,
     request: TrackedRequest,
   ): Promise<BeginAnswer> {
-    const grants = this.grants.forOrganisation(begin.organisation);
+    const grants = this.grantManager.forOrganisation(begin.organisation);
     const reservation = create(RequestReservationSchema, {
       reservation: {
         requestId: begin.requestId,
--- a/packages/keeper/src/settlement-service.ts
+++ b/packages/keeper/src/settlement-service.ts
@@ -13,7 +13,7 @@
   constructor(
     private readonly appender: LedgerAppender,
     private readonly replicator: BookReplicator,
-    private readonly grants: GrantManager,
+    private readonly grantManager: GrantManager,
     private readonly registry: RequestRegistry,
   ) {}
 
@@ -33,7 +33,7 @@
    */
   async settleBill(organisation: string, bill: Bill): Promise<void> {
     const request = this.registry.get(bill.requestId);
-    const holding = this.grants.holding(organisation, bill.grantId);
+    const holding = this.grantManager.holding(organisation, bill.grantId);
     const change = holding?.book.settle(bill);
     if (holding === undefined || change?.kind.case !== 'settled') {
       if (request !== undefined) {
@@ -51,7 +51,9 @@
     if (request !== undefined) {
       this.registry.settle(request, charged);
     }
-    this.grants.forOrganisation(organisation).recordDemand(charged.tokens);
+    this.grantManager
+      .forOrganisation(organisation)
+      .recordDemand(charged.tokens);
     const logged = this.appender.submit(
       billEntry(organisation, charged),
       Urgency.Batched,
--- a/packages/keeper/src/stream-follower.ts
+++ b/packages/keeper/src/stream-follower.ts
@@ -65,10 +65,10 @@
     // Before the replica has caught up, and after each outage, decisions must
     // not use it. The first read must then return at once, without waiting for
     // a new record.
-    const current = this.health.isCurrent(this.replica.stream);
+    const isCurrent = this.health.isCurrent(this.replica.stream);
     const page = await this.readPage(
       this.replica.nextOffset,
-      current ? LONG_POLL_TIMEOUT_MILLISECONDS : 0,
+      isCurrent ? LONG_POLL_TIMEOUT_MILLISECONDS : 0,
       signal,
     );
     if (page.firstOffset > this.replica.nextOffset) {
--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -10,7 +10,10 @@
 import {Fleet, waitUntil} from './fleet.js';
 
 const OPENING_TOKENS = 100_000;
-/** The keepers of the test fleet settle orphaned requests after 100 ms. */
+/**
+ * Well above the 100 ms after which the keepers of the test fleet settle
+ * orphaned requests.
+ */
 const AFTER_ORPHAN_WAIT_MILLISECONDS = 1_000;
 
 function appendEntry(
@@ -44,9 +47,9 @@
   candidate: Keeper,
 ): Promise<void> {
   const {incarnation} = candidate.identity;
-  const {grants, links, membership} = holder.parts;
+  const {grantManager, links, membership} = holder.parts;
   await waitUntil(() => membership.identityOf(incarnation) !== undefined);
-  for (const holding of grants.forOrganisation('org').holdings.values()) {
+  for (const holding of grantManager.forOrganisation('org').holdings.values()) {
     holding.candidate = incarnation;
     await links.linkTo(incarnation)?.send(holding.book.createOpenedChange());
   }
@@ -95,7 +98,7 @@
     const router = fleet.router(holder);
     const before = await router.begin('r1', 100);
     fleet.store.faults.outage = true;
-    for (const id of holder.parts.grants
+    for (const id of holder.parts.grantManager
       .forOrganisation('org')
       .holdings.keys()) {
       witness.parts.witnessBook.fence(id);
@@ -241,21 +244,24 @@
     await fleet.add('a');
     await fleet.add('b');
     await fleet.add('b');
-    const atA = fleet.router(await fleet.holder('a'));
+    const routerA = fleet.router(await fleet.holder('a'));
     const holderB = await fleet.holder('b');
     fleet.store.faults.outage = true;
-    const atB = fleet.router(holderB);
-    const held = holderB.parts.grants.forOrganisation('org').spendableTokens;
-    const first = await atB.begin('r1', held);
-    const second = await atB.begin('r2', 500);
+    const routerB = fleet.router(holderB);
+    const held =
+      holderB.parts.grantManager.forOrganisation('org').spendableTokens;
+    const first = await routerB.begin('r1', held);
+    const second = await routerB.begin('r2', 500);
     expect([first.verdict, second.verdict]).toEqual([
       BeginVerdict.RESERVED,
       BeginVerdict.RESERVED,
     ]);
-    await atB.settle(second, 400);
+    await routerB.settle(second, 400);
     fleet.store.faults.outage = false;
     await waitUntil(() => fleet.ledger().isBilled('org', 'r2'));
-    expect((await atA.begin('r3', 100)).verdict).toBe(BeginVerdict.RESERVED);
+    expect((await routerA.begin('r3', 100)).verdict).toBe(
+      BeginVerdict.RESERVED,
+    );
   });
 
   // A data centre can't reach the platform but can reach another data centre.
@@ -360,7 +366,7 @@
     const router = fleet.router(holder);
     await router.settle(await router.begin('r1', 100), 10);
     const forgotten = [
-      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+      ...holder.parts.grantManager.forOrganisation('org').holdings.keys(),
     ];
     forgotten.forEach(id => {
       witness.parts.witnessBook.removeGrant(id);
@@ -380,7 +386,7 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const fenced = [
-      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+      ...holder.parts.grantManager.forOrganisation('org').holdings.keys(),
     ];
     fenced.forEach(id => {
       witness.parts.witnessBook.fence(id);
--- a/packages/keeper/src/test/fleet.ts
+++ b/packages/keeper/src/test/fleet.ts
@@ -276,17 +276,19 @@
    */
   async holder(dataCenter: string): Promise<Keeper> {
     for (;;) {
-      const near = this.keepers.filter(
+      const localKeepers = this.keepers.filter(
         ({identity}) => identity.dataCenter === dataCenter,
       );
-      const found = near.find(
+      const found = localKeepers.find(
         keeper =>
-          near.every(
+          localKeepers.every(
             ({parts}) =>
               parts.membership.holderOf('org') === keeper.identity.incarnation,
           ) &&
           [
-            ...keeper.parts.grants.forOrganisation('org').holdings.values(),
+            ...keeper.parts.grantManager
+              .forOrganisation('org')
+              .holdings.values(),
           ].some(
             holding => holding.witness !== '' && holding.spendableTokens > 0,
           ),
--- a/packages/keeper/src/transfer-service.ts
+++ b/packages/keeper/src/transfer-service.ts
@@ -61,7 +61,7 @@
     private readonly membership: MembershipTable,
     private readonly peers: PeerClients,
     private readonly replicas: LedgerReplicas,
-    private readonly grants: GrantManager,
+    private readonly grantManager: GrantManager,
     private readonly replicator: BookReplicator,
     private readonly appender: LedgerAppender,
     private readonly clock: Clock,
@@ -112,7 +112,7 @@
     request: TransferGrantRequest,
   ): Promise<Transfer | undefined> {
     const {organisation, transferId, tokens, toHolder, toWitness} = request;
-    const grants = this.grants.forOrganisation(organisation);
+    const grants = this.grantManager.forOrganisation(organisation);
     const holding = [...grants.holdings.values()]
       .filter(candidate => candidate.spendableTokens >= tokens)
       .sort((one, other) => other.spendableTokens - one.spendableTokens)[0];
@@ -220,7 +220,7 @@
       const {transfer} = await this.sendWithRetry(peer, request, signal);
       if (transfer !== undefined) {
         void this.appender.submit(transferEntry(organisation, transfer));
-        this.grants.acceptTransfer(organisation, transfer);
+        this.grantManager.acceptTransfer(organisation, transfer);
         this.eventLog.info('grant transfer received', {
           organisation,
           peer: peer.incarnation,
--- a/packages/keeper/src/witness-link.ts
+++ b/packages/keeper/src/witness-link.ts
@@ -51,7 +51,7 @@
   private unacknowledged: UnacknowledgedChange[] = [];
   private batch: BookChange[] = [];
   private connected = false;
-  private readonly stopping = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly connectionWaiters = new Set<() => void>();
 
   constructor(
@@ -97,7 +97,7 @@
    * called.
    */
   async run(): Promise<void> {
-    const {signal} = this.stopping;
+    const {signal} = this.stopController;
     while (!signal.aborted) {
       try {
         await this.connect(signal);
@@ -117,7 +117,7 @@
    * `Unconfirmed`.
    */
   close(): void {
-    this.stopping.abort();
+    this.stopController.abort();
     this.disconnect();
   }
 
--- a/packages/router/src/caller-routes.ts
+++ b/packages/router/src/caller-routes.ts
@@ -32,8 +32,8 @@
 }
 
 /** Defaults for limits that the configuration does not set. */
-const DEFAULT_BODY_BYTES = 1_048_576;
-const DEFAULT_RECEIVE_MILLISECONDS = 10_000;
+const DEFAULT_MAXIMUM_BODY_BYTES = 1_048_576;
+const DEFAULT_RECEIVE_TIMEOUT_MILLISECONDS = 10_000;
 
 const NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS = 1_000;
 
@@ -236,10 +236,13 @@
     const {caller, configuration} = this.authenticate(request);
     const limits = configuration.limits;
     const body = await readBody(request, {
-      maximumBytes: orDefault(limits?.maximumBodyBytes, DEFAULT_BODY_BYTES),
+      maximumBytes: orDefault(
+        limits?.maximumBodyBytes,
+        DEFAULT_MAXIMUM_BODY_BYTES,
+      ),
       timeoutMilliseconds: orDefault(
         limits?.requestReceiveTimeoutMilliseconds,
-        DEFAULT_RECEIVE_MILLISECONDS,
+        DEFAULT_RECEIVE_TIMEOUT_MILLISECONDS,
       ),
     });
     const incoming = {
--- a/packages/router/src/holder-client.ts
+++ b/packages/router/src/holder-client.ts
@@ -133,7 +133,7 @@
   /**
    * Returns true while this router certainly still owns the claim of a
    * reservation: the session over which the begin was sent has stayed open since,
-   * and the begin is at most 3 seconds old.
+   * and the begin is at most `CLAIM_LEASE_MILLISECONDS` old.
    *
    * A router that was paused, or whose session broke, may read the reservation
    * after its holder has given a different answer to a retry. Without this check
--- a/packages/router/src/keeper-session.ts
+++ b/packages/router/src/keeper-session.ts
@@ -66,7 +66,7 @@
   private sequence = 0;
   private openedAt = Number.POSITIVE_INFINITY;
   private readonly pending = new Map<number, PendingBegin>();
-  private readonly stop = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly task: Promise<void>;
 
   constructor(
@@ -122,14 +122,16 @@
       this.pending.delete(sequence);
       throw new StepError(BEGIN_STEP, this.address, Fate.NotDone, 'no session');
     }
-    const timer = new AbortController();
-    void this.clock.sleep(BEGIN_TIMEOUT_MILLISECONDS, timer.signal).then(() => {
-      this.rejectBegin(sequence, 'timeout');
-    });
+    const timeoutController = new AbortController();
+    void this.clock
+      .sleep(BEGIN_TIMEOUT_MILLISECONDS, timeoutController.signal)
+      .then(() => {
+        this.rejectBegin(sequence, 'timeout');
+      });
     try {
       return await answer;
     } finally {
-      timer.abort();
+      timeoutController.abort();
     }
   }
 
@@ -139,28 +141,34 @@
    */
   async close(): Promise<void> {
     this.stream?.close();
-    const limit = new AbortController();
+    const timeoutController = new AbortController();
     await Promise.race([
       this.task,
-      this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, limit.signal),
+      this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, timeoutController.signal),
     ]);
-    limit.abort();
-    this.stop.abort();
+    timeoutController.abort();
+    this.stopController.abort();
     await this.task;
   }
 
   private async run(): Promise<void> {
-    while (!this.stop.signal.aborted) {
+    while (!this.stopController.signal.aborted) {
       const reason = await this.runStream();
       this.handleStreamEnd(reason);
-      await this.clock.sleep(RECONNECT_DELAY_MILLISECONDS, this.stop.signal);
+      await this.clock.sleep(
+        RECONNECT_DELAY_MILLISECONDS,
+        this.stopController.signal,
+      );
     }
   }
 
   /** Runs one stream from open to end; returns the reason for its end. */
   private async runStream(): Promise<string> {
     try {
-      const stream = this.connector.open(this.address, this.stop.signal);
+      const stream = this.connector.open(
+        this.address,
+        this.stopController.signal,
+      );
       this.stream = stream;
       stream.send({kind: {case: 'hello', value: this.identity()}});
       for await (const message of stream.messages) {
--- a/packages/router/src/model-work.ts
+++ b/packages/router/src/model-work.ts
@@ -287,8 +287,11 @@
     answer: Answer,
     step: Promise<Value>,
   ): Promise<Value> {
-    const timer = new AbortController();
-    const signal = AbortSignal.any([timer.signal, answer.abandoned]);
+    const timeoutController = new AbortController();
+    const signal = AbortSignal.any([
+      timeoutController.signal,
+      answer.abandoned,
+    ]);
     const stalled = this.clock
       .sleep(STALL_TIMEOUT_MILLISECONDS, signal)
       .then((): never => {
@@ -306,7 +309,7 @@
       step.catch(() => {
         // The stream is detached after a stall, so its later error is ignored.
       });
-      timer.abort();
+      timeoutController.abort();
     }
   }
 }
--- a/packages/router/src/router-limits.ts
+++ b/packages/router/src/router-limits.ts
@@ -11,7 +11,7 @@
 
 /** 32 MiB, an eighth of the memory that a process may use for control data. */
 const DEFAULT_KEPT_ANSWER_BYTES = 33_554_432;
-const DEFAULT_MAXIMUM_QUEUED = 1_000;
+const DEFAULT_MAXIMUM_QUEUED_REQUESTS = 1_000;
 const DEFAULT_DRAIN_LIMIT_MILLISECONDS = 60_000;
 const DEFAULT_KEPT_ANSWER_MILLISECONDS = 60_000;
 
@@ -28,7 +28,7 @@
     ),
     maximumQueuedRequests: orDefault(
       settings.maximumQueuedRequests,
-      DEFAULT_MAXIMUM_QUEUED,
+      DEFAULT_MAXIMUM_QUEUED_REQUESTS,
     ),
     drainLimitMilliseconds: orDefault(
       settings.drainLimitMilliseconds,
