--- a/packages/keeper/src/claim-service.ts
+++ b/packages/keeper/src/claim-service.ts
@@ -25,10 +25,10 @@
  * Decides which router may run a non-idempotent request with an idempotency key
  * that the caller chose.
  *
- * The same key can arrive in two data centres at once. Each appends a claim to
- * the log before it dispatches the request, and the first claim in log order
- * wins. If the answer to an append is lost, its result is found by reading the
- * log.
+ * The same key can arrive in two data centres at once. The holder in each of
+ * them appends a claim to the log before the request is dispatched, and the
+ * first claim in log order wins. If the answer to an append is lost, its result
+ * is found by reading the log.
  */
 export class ClaimService {
   constructor(
--- a/packages/keeper/src/membership-table.ts
+++ b/packages/keeper/src/membership-table.ts
@@ -185,7 +185,7 @@
    * if this host died, so peers whose last heartbeat is within the witness
    * timeout then count too.
    *
-   * @returns Undefined if no peer's last heartbeat is within the witness
+   * @returns undefined if no peer's last heartbeat is within the witness
    * timeout.
    */
   witnessFor(organisation: string): string | undefined {
--- a/packages/keeper/src/test/book-replicator_test.ts
+++ b/packages/keeper/src/test/book-replicator_test.ts
@@ -36,14 +36,14 @@
 const unreachableLog = {isReachable: () => false} as unknown as PlatformHealth;
 
 function holdingOf(witness: string, candidate: string): GrantHolding {
-  const opening = {
+  const terms = {
     grantId: 'g1',
     organisation: 'org',
     tokens: 1_000,
     holder: 'holder',
     dataCenter: 'a',
   };
-  const holding = new GrantHolding(opening, witness);
+  const holding = new GrantHolding(terms, witness);
   holding.candidate = candidate;
   return holding;
 }
--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -16,9 +16,9 @@
  */
 const AFTER_ORPHAN_WAIT_MILLISECONDS = 1_000;
 
-function appendEntry(
+function appendEntries(
   fleet: Fleet,
-  entry: NonNullable<
+  entries: NonNullable<
     Parameters<typeof create<typeof LedgerBatchSchema>>[1]
   >['entries'],
 ): void {
@@ -26,7 +26,7 @@
     'ledger-0',
     toBinary(
       LedgerBatchSchema,
-      create(LedgerBatchSchema, {writer: 'operator', entries: entry ?? []}),
+      create(LedgerBatchSchema, {writer: 'operator', entries: entries ?? []}),
     ),
   );
 }
@@ -118,18 +118,18 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const answer = await router.begin('r1', 100, {beginNumber: 7});
-    const atWitness = fleet.router(witness);
+    const routerAtWitness = fleet.router(witness);
     await holder.kill();
     const {requestId} = answer;
     const value = {requestId, organisation: 'org', lostBegins: [7]};
-    atWitness.send({
+    routerAtWitness.send({
       case: 'abandon',
       value: create(AbandonRequestSchema, value),
     });
     await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
-    atWitness.kill();
+    routerAtWitness.kill();
     await new Promise(resolve =>
       setTimeout(resolve, AFTER_ORPHAN_WAIT_MILLISECONDS),
     );
@@ -163,10 +163,10 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const answer = await router.begin('r1', 100, {beginNumber: 8});
-    const atWitness = fleet.router(witness);
+    const routerAtWitness = fleet.router(witness);
     const {requestId} = answer;
     const value = {requestId, organisation: 'org', lostBegins: [7]};
-    atWitness.send({
+    routerAtWitness.send({
       case: 'abandon',
       value: create(AbandonRequestSchema, value),
     });
@@ -174,7 +174,7 @@
     await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
-    await atWitness.settle(answer, 30);
+    await routerAtWitness.settle(answer, 30);
     await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
@@ -269,13 +269,13 @@
   // centre.
   it('reads a top-up through the relay of another data centre', async () => {
     await fleet.add('a');
-    const far = await fleet.add('b');
+    const remoteKeeper = await fleet.add('b');
     await fleet.holder('b');
     const log = fleet.logs[1];
     if (log !== undefined) {
       log.isDisconnected = true;
     }
-    appendEntry(fleet, [
+    appendEntries(fleet, [
       {
         entryId: 'top-up-1',
         organisation: 'org',
@@ -284,7 +284,8 @@
     ]);
     await waitUntil(
       () =>
-        far.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
+        remoteKeeper.parts.replicas.ledgerOf('org').totals('org')
+          .creditedTokens ===
         OPENING_TOKENS + 500,
     );
   });
@@ -296,12 +297,12 @@
     await fleet.add('a');
     await fleet.holder('a');
     fleet.store.faults.outage = true;
-    const fresh = await fleet.add('a');
-    await waitUntil(() => fresh.parts.configuration.version === 1);
+    const newKeeper = await fleet.add('a');
+    await waitUntil(() => newKeeper.parts.configuration.version === 1);
     await waitUntil(
       () =>
-        fresh.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
-        OPENING_TOKENS,
+        newKeeper.parts.replicas.ledgerOf('org').totals('org')
+          .creditedTokens === OPENING_TOKENS,
     );
   });
 
@@ -315,7 +316,7 @@
     await Promise.all(killed.map(keeper => keeper.kill()));
     await fleet.add('a');
     expect(fleet.ledger().grant('org', answer.grantId)?.closed).toBe(false);
-    appendEntry(fleet, [
+    appendEntries(fleet, [
       {
         entryId: 'release-1',
         organisation: 'org',
@@ -365,14 +366,14 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     await router.settle(await router.begin('r1', 100), 10);
-    const forgotten = [
+    const grantIds = [
       ...holder.parts.grantManager.forOrganisation('org').holdings.keys(),
     ];
-    forgotten.forEach(id => {
+    grantIds.forEach(id => {
       witness.parts.witnessBook.removeGrant(id);
     });
     const answer = await router.begin('r2', 100);
-    expect(forgotten).toContain(answer.grantId);
+    expect(grantIds).toContain(answer.grantId);
     await router.settle(answer, 10);
     await holder.close();
     expect(openGrantsOf(fleet, holder)).toEqual([]);
--- a/packages/keeper/src/test/fold-listener_test.ts
+++ b/packages/keeper/src/test/fold-listener_test.ts
@@ -38,7 +38,7 @@
   expect(book.apply(change)).toBe(BookChangeResult.Applied);
 }
 
-function witnessChanged(listener: FoldListener, from: string, to: string) {
+function foldWitnessChange(listener: FoldListener, from: string, to: string) {
   const entry = ledgerEntry(`witness:${from}:${to}`, 'org', {
     case: 'witnessChange',
     value: {grantId: GRANT, from, to},
@@ -72,8 +72,8 @@
     openBook(book);
     // The holder has already sent the book when this witness reads both
     // changes.
-    witnessChanged(listener, SELF, OTHER);
-    witnessChanged(listener, OTHER, SELF);
+    foldWitnessChange(listener, SELF, OTHER);
+    foldWitnessChange(listener, OTHER, SELF);
     book.fence(GRANT);
     const reclaim = book.reclaim(GRANT, SELF);
     expect(reclaim?.openReservations.map(({requestId}) => requestId)).toEqual([
--- a/packages/ledger/src/test/escrow-model.ts
+++ b/packages/ledger/src/test/escrow-model.ts
@@ -67,11 +67,11 @@
   Read,
   Reserve,
   Deliver,
-  Break,
+  BreakChannel,
   Settle,
   Release,
-  Bill,
-  Repeat,
+  AppendPending,
+  RepeatRecord,
   Return,
   Transfer,
   Fence,
@@ -144,7 +144,7 @@
       case StepKind.Deliver:
         this.deliver(pick, 1 + (amount % 4));
         return;
-      case StepKind.Break:
+      case StepKind.BreakChannel:
         this.breakChannel(actor, this.actorAt(pick));
         return;
       case StepKind.Settle:
@@ -153,10 +153,10 @@
       case StepKind.Release:
         this.release(actor, holding, pick);
         return;
-      case StepKind.Bill:
+      case StepKind.AppendPending:
         this.appendPending(actor);
         return;
-      case StepKind.Repeat:
+      case StepKind.RepeatRecord:
         this.repeatRecord(pick);
         return;
       case StepKind.Return:
--- a/packages/ledger/src/test/grant-policy_test.ts
+++ b/packages/ledger/src/test/grant-policy_test.ts
@@ -61,16 +61,20 @@
   });
 
   it('returns the tokens of several grants so that a waiting request gets one grant', () => {
-    const pieces = {
+    const severalGrants = {
       ...INPUT,
       waitingBoundTokens: 100,
       unallocatedTokens: 30,
       spendableTokens: 80,
       largestSpendableTokens: 50,
     };
-    expect(policy.decide(pieces).returnTokens).toBe(80);
-    const whole = {...pieces, unallocatedTokens: 110, spendableTokens: 0};
-    expect(policy.decide(whole)).toMatchObject({minimumTokens: 100});
+    expect(policy.decide(severalGrants).returnTokens).toBe(80);
+    const afterReturn = {
+      ...severalGrants,
+      unallocatedTokens: 110,
+      spendableTokens: 0,
+    };
+    expect(policy.decide(afterReturn)).toMatchObject({minimumTokens: 100});
   });
 
   it('consolidates the last tokens at the holder with the most tokens', () => {
--- a/packages/router/src/caller-routes.ts
+++ b/packages/router/src/caller-routes.ts
@@ -43,8 +43,8 @@
  */
 const MAXIMUM_KEY_CHARACTERS = 255;
 
-function orDefault(value: number | undefined, fallback: number): number {
-  return value === undefined || value === 0 ? fallback : value;
+function orDefault(value: number | undefined, defaultValue: number): number {
+  return value === undefined || value === 0 ? defaultValue : value;
 }
 
 function header(request: IncomingMessage, name: string): string | undefined {
--- a/packages/router/src/dispatch-run.ts
+++ b/packages/router/src/dispatch-run.ts
@@ -5,7 +5,7 @@
 
 import {chargedTokens} from './bound.js';
 import type {RunResult} from './endpoint-work.js';
-import {freshAttemptId} from './identity.js';
+import {generateAttemptId} from './identity.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
 import * as requestState from './request-state.js';
 import {RETRY_AFTER_MILLISECONDS, type RunContext} from './run-context.js';
@@ -65,7 +65,10 @@
       dependencies.dispatchedCalls.add(submission.requestId);
     }
     const endpoint = reserved.placement?.endpoint ?? '';
-    const attemptId = freshAttemptId(submission.requestId, dependencies.random);
+    const attemptId = generateAttemptId(
+      submission.requestId,
+      dependencies.random,
+    );
     const dispatching = this.context.recordState(
       requestState.dispatch(reserved, {endpoint, attemptId}),
     );
@@ -74,7 +77,7 @@
       const result = await submission.work.start(
         dispatching.attempt,
         this.context.answer,
-        {started: this.createStartedHook(dispatching)},
+        {partReceived: this.createPartReceivedHook(dispatching)},
       );
       await this.finishOrRerun(dispatching, result);
       return undefined;
@@ -101,7 +104,7 @@
       resuming.attempt,
       this.context.answer,
       {
-        started: this.createStartedHook(resuming),
+        partReceived: this.createPartReceivedHook(resuming),
       },
     );
     await this.finishOrRerun(resuming, result);
@@ -135,14 +138,17 @@
       this.finish(from, result);
       return;
     }
-    const attemptId = freshAttemptId(submission.requestId, dependencies.random);
+    const attemptId = generateAttemptId(
+      submission.requestId,
+      dependencies.random,
+    );
     const {endpoint} = placement.val;
     const rerunState = this.context.recordState(
       requestState.rerun(from, {endpoint, attemptId}),
     );
     this.notifyHolder(rerunState);
     try {
-      const hooks = {started: this.createStartedHook(rerunState)};
+      const hooks = {partReceived: this.createPartReceivedHook(rerunState)};
       const rerunResult = await submission.work.start(
         rerunState.attempt,
         answer,
@@ -165,7 +171,7 @@
     );
   }
 
-  private createStartedHook(from: requestState.AfterDispatch): () => void {
+  private createPartReceivedHook(from: requestState.AfterDispatch): () => void {
     let isFirst = true;
     return () => {
       if (isFirst) {
--- a/packages/router/src/endpoint-directory.ts
+++ b/packages/router/src/endpoint-directory.ts
@@ -28,7 +28,7 @@
   readonly endpoint: Endpoint;
   readonly engine: ModelEngine | undefined;
   readonly plainService: PlainService | undefined;
-  readonly stopReports: AbortController;
+  readonly pollingController: AbortController;
   /** Whether the endpoint's last load report says that it is leaving. */
   reportsLeaving: boolean;
 }
@@ -115,7 +115,7 @@
   async close(): Promise<void> {
     const all = [...this.connections.values(), ...this.retired];
     for (const connection of all) {
-      connection.stopReports.abort();
+      connection.pollingController.abort();
     }
     for (const connection of all) {
       await connection.engine?.close();
@@ -158,7 +158,7 @@
       plainService: isModel
         ? undefined
         : this.options.plainServiceFactory.connect(name, address),
-      stopReports: new AbortController(),
+      pollingController: new AbortController(),
       reportsLeaving: false,
     };
     this.connections.set(name, connection);
@@ -166,7 +166,7 @@
       void this.pollLoadReports(
         name,
         connection.engine,
-        connection.stopReports.signal,
+        connection.pollingController.signal,
       );
     }
   }
@@ -176,7 +176,7 @@
    * its connections, so its client stays open until the process ends.
    */
   private retire(name: string, connection: EndpointConnection): void {
-    connection.stopReports.abort();
+    connection.pollingController.abort();
     this.connections.delete(name);
     this.retired.add(connection);
   }
--- a/packages/router/src/endpoint-work.ts
+++ b/packages/router/src/endpoint-work.ts
@@ -21,7 +21,7 @@
 /** Callbacks of a running attempt. */
 export interface RunHooks {
   /** Called for each part of the answer that arrives. */
-  started(): void;
+  partReceived(): void;
 }
 
 /** The work of one request at its kind of endpoint. */
--- a/packages/router/src/identity.ts
+++ b/packages/router/src/identity.ts
@@ -1,9 +1,9 @@
 import type {RandomSource} from '@wisteriadeal/platform';
 import {createHash} from 'node:crypto';
 
-const REQUEST_DIGITS = 32;
-const ATTEMPT_DIGITS = 8;
-const MINTED_PREFIX = 'minted';
+const REQUEST_ID_DIGITS = 32;
+const ATTEMPT_ID_DIGITS = 8;
+const MINTED_KEY_PREFIX = 'minted';
 
 /** Returns the SHA-256 digest in lower-case hexadecimal. */
 export function sha256Hex(content: string | Uint8Array): string {
@@ -29,20 +29,20 @@
   const digest = sha256Hex(
     `${identity.organisation}\u0000${identity.caller}\u0000${key}`,
   );
-  return `req_${digest.slice(0, REQUEST_DIGITS)}`;
+  return `req_${digest.slice(0, REQUEST_ID_DIGITS)}`;
 }
 
 /** Generates the identifier of a request without a key. */
-export function freshRequestId(random: RandomSource): string {
-  return `req_${random.identifier().slice(0, REQUEST_DIGITS)}`;
+export function generateRequestId(random: RandomSource): string {
+  return `req_${random.identifier().slice(0, REQUEST_ID_DIGITS)}`;
 }
 
 /** Generates the identifier of one attempt at one endpoint. */
-export function freshAttemptId(
+export function generateAttemptId(
   requestId: string,
   random: RandomSource,
 ): string {
-  return `${requestId}.${random.identifier().slice(0, ATTEMPT_DIGITS)}`;
+  return `${requestId}.${random.identifier().slice(0, ATTEMPT_ID_DIGITS)}`;
 }
 
 /** The router incarnation that minted a key; only it may execute the request. */
@@ -58,7 +58,7 @@
 export function mintKey(owner: MintedKeyOwner, random: RandomSource): string {
   const incarnation = Buffer.from(owner.incarnation).toString('base64url');
   return [
-    MINTED_PREFIX,
+    MINTED_KEY_PREFIX,
     Buffer.from(owner.dataCenter).toString('base64url'),
     incarnation,
     random.identifier(),
@@ -69,7 +69,7 @@
 export function parseMintedKey(key: string): MintedKeyOwner | undefined {
   const [prefix, dataCenter, incarnation, identifier, ...rest] = key.split('.');
   if (
-    prefix !== MINTED_PREFIX ||
+    prefix !== MINTED_KEY_PREFIX ||
     dataCenter === undefined ||
     incarnation === undefined ||
     identifier === undefined ||
--- a/packages/router/src/model-work.ts
+++ b/packages/router/src/model-work.ts
@@ -155,7 +155,7 @@
         break;
       }
       this.acceptEvent(state, next.value);
-      hooks.started();
+      hooks.partReceived();
     }
     if (stream.end === undefined) {
       throw this.streamError(attempt, 'the stream closed without an end event');
--- a/packages/router/src/plain-work.ts
+++ b/packages/router/src/plain-work.ts
@@ -130,7 +130,7 @@
     answer: Answer,
     hooks: RunHooks,
   ): RunResult {
-    hooks.started();
+    hooks.partReceived();
     answer.setHead({status: found.status, contentType: found.contentType});
     answer.append(found.body);
     return {
--- a/packages/router/src/request-locator.ts
+++ b/packages/router/src/request-locator.ts
@@ -20,7 +20,7 @@
   readonly nowSeconds: () => number;
 }
 
-/** Finds answers that this router or another one runs or keeps. */
+/** Finds answers that this router or another one produces or still keeps. */
 export class RequestLocator {
   constructor(private readonly dependencies: LocatorDependencies) {}
 
--- a/packages/router/src/request-run.ts
+++ b/packages/router/src/request-run.ts
@@ -4,7 +4,7 @@
 
 import type {Answer} from './answer.js';
 import {DispatchRun} from './dispatch-run.js';
-import {freshAttemptId} from './identity.js';
+import {generateAttemptId} from './identity.js';
 import type {BeginFields} from './keeper-session.js';
 import {AnswerOutcome, Problem, ProblemName} from './problem.js';
 import * as requestState from './request-state.js';
@@ -157,7 +157,7 @@
       caller: submission.caller,
       fingerprint: submission.fingerprint,
       boundTokens: submission.boundTokens,
-      attemptId: freshAttemptId(submission.requestId, dependencies.random),
+      attemptId: generateAttemptId(submission.requestId, dependencies.random),
       service: submission.service,
       idempotent: submission.idempotent,
       mintedHere: submission.mintedHere,
--- a/packages/router/src/submission-reader.ts
+++ b/packages/router/src/submission-reader.ts
@@ -13,7 +13,7 @@
 import type {AuthenticatedCaller} from './credentials.js';
 import type {EndpointDirectory} from './endpoint-directory.js';
 import {
-  freshRequestId,
+  generateRequestId,
   keyedRequestId,
   parseMintedKey,
   sha256Hex,
@@ -82,10 +82,12 @@
   const configured = batch
     ? limits?.batchDeadlineMilliseconds
     : limits?.interactiveDeadlineMilliseconds;
-  const fallback = batch
+  const defaultValue = batch
     ? DEFAULT_BATCH_DEADLINE_MILLISECONDS
     : DEFAULT_INTERACTIVE_DEADLINE_MILLISECONDS;
-  return configured === undefined || configured === 0 ? fallback : configured;
+  return configured === undefined || configured === 0
+    ? defaultValue
+    : configured;
 }
 
 /** Parses and validates received requests. */
@@ -201,7 +203,7 @@
       ...identity,
       requestId:
         idempotencyKey === undefined
-          ? freshRequestId(this.dependencies.random)
+          ? generateRequestId(this.dependencies.random)
           : keyedRequestId(identity, idempotencyKey),
       keyed: idempotencyKey !== undefined,
       mintedHere: minted?.incarnation === this.dependencies.incarnation(),
--- a/packages/router/src/test/keeper-directory_test.ts
+++ b/packages/router/src/test/keeper-directory_test.ts
@@ -127,13 +127,13 @@
 it('follows NOT_HOLDER verdicts to the named keeper, up to 4 begins', async () => {
   const {first, second, holder} = start();
   await waitUntil(() => directory.openSessions().length === 2);
-  const name = (other: string) => () => ({
+  const redirectTo = (other: string) => () => ({
     verdict: BeginVerdict.NOT_HOLDER,
     holder: other,
   });
-  first.verdict = name(SECOND_KEEPER);
+  first.verdict = redirectTo(SECOND_KEEPER);
   expect((await holder.begin(begin)).holder).not.toBe('');
-  second.verdict = name(FIRST_KEEPER);
+  second.verdict = redirectTo(FIRST_KEEPER);
   first.received.length = 0;
   second.received.length = 0;
   await expect(holder.begin(begin)).rejects.toThrow();
--- a/packages/router/src/test/retries_test.ts
+++ b/packages/router/src/test/retries_test.ts
@@ -110,14 +110,14 @@
   // until it has dispatched the call.
   it('reports a claim as unused until the call is dispatched', async () => {
     await requestCertificate(first.url, '{}', {key: 'c'});
-    const again = keeper.receivedOf('begin')[0];
-    expect(again?.claimUnused).toBe(true);
+    const firstBegin = keeper.receivedOf('begin')[0];
+    expect(firstBegin?.claimUnused).toBe(true);
     keeper.verdict = () => undefined;
     await requestCertificate(second.url, '{}', {key: 'd'});
     await requestCertificate(second.url, '{}', {key: 'd'});
     const unused = keeper
       .receivedOf('begin')
-      .filter(({requestId}) => requestId !== again?.requestId);
+      .filter(({requestId}) => requestId !== firstBegin?.requestId);
     expect(unused.every(({claimUnused}) => claimUnused)).toBe(true);
   });
 
@@ -211,10 +211,13 @@
     expect(rival.requestId).not.toBe(own.requestId);
     expect(rival.text).toContain('rival-0');
     for (const {url} of [first, second]) {
-      const stolen = await fetch(`${url}/v1/requests/${own.requestId}/events`, {
-        headers: headersOf({secret: OTHER_ORGANISATION_SECRET}),
-      });
-      expect(stolen.status).toBe(404);
+      const response = await fetch(
+        `${url}/v1/requests/${own.requestId}/events`,
+        {
+          headers: headersOf({secret: OTHER_ORGANISATION_SECRET}),
+        },
+      );
+      expect(response.status).toBe(404);
     }
   });
 
--- a/packages/router/src/test/router-rig.ts
+++ b/packages/router/src/test/router-rig.ts
@@ -38,7 +38,10 @@
   return createHash('sha256').update(secret).digest('hex');
 }
 
-/** Has two organisations, a model service with one engine, and a plain service. */
+/**
+ * Returns a configuration with two organisations, a model service with one
+ * engine, and a plain service.
+ */
 export function testConfiguration(): Configuration {
   return create(ConfigurationSchema, {
     organisations: [
