--- a/packages/keeper/src/test/failures_test.ts
+++ b/packages/keeper/src/test/failures_test.ts
@@ -10,12 +10,15 @@
 import {Fleet, waitUntil} from './fleet.js';
 
 const OPENING_TOKENS = 100_000;
-/** The keepers of the test fleet settle orphaned requests after 100 ms. */
+/**
+ * Well above the 100 ms after which the keepers of the test fleet settle
+ * orphaned requests.
+ */
 const AFTER_ORPHAN_WAIT_MILLISECONDS = 1_000;
 
-function appendEntry(
+function appendEntries(
   fleet: Fleet,
-  entry: NonNullable<
+  entries: NonNullable<
     Parameters<typeof create<typeof LedgerBatchSchema>>[1]
   >['entries'],
 ): void {
@@ -23,7 +26,7 @@
     'ledger-0',
     toBinary(
       LedgerBatchSchema,
-      create(LedgerBatchSchema, {writer: 'operator', entries: entry ?? []}),
+      create(LedgerBatchSchema, {writer: 'operator', entries: entries ?? []}),
     ),
   );
 }
@@ -44,9 +47,9 @@
   candidate: Keeper,
 ): Promise<void> {
   const {incarnation} = candidate.identity;
-  const {grants, links, membership} = holder.parts;
+  const {grantManager, links, membership} = holder.parts;
   await waitUntil(() => membership.identityOf(incarnation) !== undefined);
-  for (const holding of grants.forOrganisation('org').holdings.values()) {
+  for (const holding of grantManager.forOrganisation('org').holdings.values()) {
     holding.candidate = incarnation;
     await links.linkTo(incarnation)?.send(holding.book.createOpenedChange());
   }
@@ -95,7 +98,7 @@
     const router = fleet.router(holder);
     const before = await router.begin('r1', 100);
     fleet.store.faults.outage = true;
-    for (const id of holder.parts.grants
+    for (const id of holder.parts.grantManager
       .forOrganisation('org')
       .holdings.keys()) {
       witness.parts.witnessBook.fence(id);
@@ -115,18 +118,18 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const answer = await router.begin('r1', 100, {beginNumber: 7});
-    const atWitness = fleet.router(witness);
+    const routerAtWitness = fleet.router(witness);
     await holder.kill();
     const {requestId} = answer;
     const value = {requestId, organisation: 'org', lostBegins: [7]};
-    atWitness.send({
+    routerAtWitness.send({
       case: 'abandon',
       value: create(AbandonRequestSchema, value),
     });
     await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
-    atWitness.kill();
+    routerAtWitness.kill();
     await new Promise(resolve =>
       setTimeout(resolve, AFTER_ORPHAN_WAIT_MILLISECONDS),
     );
@@ -160,10 +163,10 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const answer = await router.begin('r1', 100, {beginNumber: 8});
-    const atWitness = fleet.router(witness);
+    const routerAtWitness = fleet.router(witness);
     const {requestId} = answer;
     const value = {requestId, organisation: 'org', lostBegins: [7]};
-    atWitness.send({
+    routerAtWitness.send({
       case: 'abandon',
       value: create(AbandonRequestSchema, value),
     });
@@ -171,7 +174,7 @@
     await waitUntil(
       () => fleet.ledger().grant('org', answer.grantId)?.closed === true,
     );
-    await atWitness.settle(answer, 30);
+    await routerAtWitness.settle(answer, 30);
     await waitUntil(() => fleet.ledger().isBilled('org', 'r1'));
     expect(fleet.ledger().totals('org').billedTokens).toBe(30);
   });
@@ -241,21 +244,24 @@
     await fleet.add('a');
     await fleet.add('b');
     await fleet.add('b');
-    const atA = fleet.router(await fleet.holder('a'));
+    const routerA = fleet.router(await fleet.holder('a'));
     const holderB = await fleet.holder('b');
     fleet.store.faults.outage = true;
-    const atB = fleet.router(holderB);
-    const held = holderB.parts.grants.forOrganisation('org').spendableTokens;
-    const first = await atB.begin('r1', held);
-    const second = await atB.begin('r2', 500);
+    const routerB = fleet.router(holderB);
+    const held =
+      holderB.parts.grantManager.forOrganisation('org').spendableTokens;
+    const first = await routerB.begin('r1', held);
+    const second = await routerB.begin('r2', 500);
     expect([first.verdict, second.verdict]).toEqual([
       BeginVerdict.RESERVED,
       BeginVerdict.RESERVED,
     ]);
-    await atB.settle(second, 400);
+    await routerB.settle(second, 400);
     fleet.store.faults.outage = false;
     await waitUntil(() => fleet.ledger().isBilled('org', 'r2'));
-    expect((await atA.begin('r3', 100)).verdict).toBe(BeginVerdict.RESERVED);
+    expect((await routerA.begin('r3', 100)).verdict).toBe(
+      BeginVerdict.RESERVED,
+    );
   });
 
   // A data centre can't reach the platform but can reach another data centre.
@@ -263,13 +269,13 @@
   // centre.
   it('reads a top-up through the relay of another data centre', async () => {
     await fleet.add('a');
-    const far = await fleet.add('b');
+    const remoteKeeper = await fleet.add('b');
     await fleet.holder('b');
     const log = fleet.logs[1];
     if (log !== undefined) {
       log.isDisconnected = true;
     }
-    appendEntry(fleet, [
+    appendEntries(fleet, [
       {
         entryId: 'top-up-1',
         organisation: 'org',
@@ -278,7 +284,8 @@
     ]);
     await waitUntil(
       () =>
-        far.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
+        remoteKeeper.parts.replicas.ledgerOf('org').totals('org')
+          .creditedTokens ===
         OPENING_TOKENS + 500,
     );
   });
@@ -290,12 +297,12 @@
     await fleet.add('a');
     await fleet.holder('a');
     fleet.store.faults.outage = true;
-    const fresh = await fleet.add('a');
-    await waitUntil(() => fresh.parts.configuration.version === 1);
+    const newKeeper = await fleet.add('a');
+    await waitUntil(() => newKeeper.parts.configuration.version === 1);
     await waitUntil(
       () =>
-        fresh.parts.replicas.ledgerOf('org').totals('org').creditedTokens ===
-        OPENING_TOKENS,
+        newKeeper.parts.replicas.ledgerOf('org').totals('org')
+          .creditedTokens === OPENING_TOKENS,
     );
   });
 
@@ -309,7 +316,7 @@
     await Promise.all(killed.map(keeper => keeper.kill()));
     await fleet.add('a');
     expect(fleet.ledger().grant('org', answer.grantId)?.closed).toBe(false);
-    appendEntry(fleet, [
+    appendEntries(fleet, [
       {
         entryId: 'release-1',
         organisation: 'org',
@@ -359,14 +366,14 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     await router.settle(await router.begin('r1', 100), 10);
-    const forgotten = [
-      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+    const grantIds = [
+      ...holder.parts.grantManager.forOrganisation('org').holdings.keys(),
     ];
-    forgotten.forEach(id => {
+    grantIds.forEach(id => {
       witness.parts.witnessBook.removeGrant(id);
     });
     const answer = await router.begin('r2', 100);
-    expect(forgotten).toContain(answer.grantId);
+    expect(grantIds).toContain(answer.grantId);
     await router.settle(answer, 10);
     await holder.close();
     expect(openGrantsOf(fleet, holder)).toEqual([]);
@@ -380,7 +387,7 @@
     const witness = keepers.find(keeper => keeper !== holder) ?? holder;
     const router = fleet.router(holder);
     const fenced = [
-      ...holder.parts.grants.forOrganisation('org').holdings.keys(),
+      ...holder.parts.grantManager.forOrganisation('org').holdings.keys(),
     ];
     fenced.forEach(id => {
       witness.parts.witnessBook.fence(id);
