--- a/packages/measurements/src/budget-replay.ts
+++ b/packages/measurements/src/budget-replay.ts
@@ -54,19 +54,22 @@
   pending: BudgetRecord[];
 }
 
+/** A request in progress; its times are in seconds from the start of the replay. */
 interface RunningRequest {
   readonly endsAt: number;
   readonly host: ReplayHost;
   readonly incarnation: string;
   readonly organisation: string;
+  /** Maximum number of tokens that it can use. */
   readonly bound: number;
+  /** True if it fitted into its organisation's budget when it arrived. */
   readonly isAffordable: boolean;
-  /** Time of its first event, in seconds. */
   readonly firstEventAt: number;
   /** True if its tokens are to be charged at its first event. */
   isChargeDeferred: boolean;
 }
 
+/** An organisation's tokens, summed over all hosts. */
 interface Totals {
   readonly prepaid: number;
   used: number;
@@ -102,6 +105,7 @@
   private refusedAffordableRequests = 0;
   private strandedTokens = 0;
   private records = 0;
+  /** Seconds since the start of the replay. */
   private now = 0;
 
   constructor(
@@ -504,11 +508,16 @@
   }
 }
 
+/** A request when it arrives at a host. */
 interface Arrival {
+  /** Seconds since the start of the replay. */
   readonly at: number;
   readonly organisation: string;
+  /** Maximum number of tokens that the request can use. */
   readonly bound: number;
+  /** Duration of the request. */
   readonly seconds: number;
+  /** Index of the host. */
   readonly host: number;
 }
 
--- a/packages/measurements/src/caller-client.ts
+++ b/packages/measurements/src/caller-client.ts
@@ -196,17 +196,17 @@
     answer: StreamingResponse,
     recordFirstText: () => void,
   ): Promise<UntimedResult> {
-    const check = new StreamChecker(call, requestId);
+    const checker = new StreamChecker(call, requestId);
     for await (const event of readServerSentEvents(answer.body)) {
-      if (check.addEvent(event)) {
+      if (checker.addEvent(event)) {
         recordFirstText();
       }
     }
-    if (check.problem !== '') {
-      return problemResult(check.problem, requestId);
+    if (checker.problem !== '') {
+      return problemResult(checker.problem, requestId);
     }
-    return check.complete
-      ? answeredResult(requestId, check.check())
+    return checker.complete
+      ? answeredResult(requestId, checker.check())
       : {...LOST_RESULT, requestId};
   }
 
--- a/packages/measurements/src/cases/control-cost-case.ts
+++ b/packages/measurements/src/cases/control-cost-case.ts
@@ -10,7 +10,7 @@
 import {pause} from '../waiting.js';
 import {failureLoad} from './failure-load.js';
 
-/** Entry hosts in each of the two data centres, one value per measured fleet. */
+/** Number of entry hosts in each of the two data centres, for each measured fleet. */
 const HOSTS_PER_DATA_CENTER = [2, 4, 8];
 const SETTLE_MILLISECONDS = 4_000;
 const MEASURED_MILLISECONDS = 10_000;
--- a/packages/measurements/src/cases/kill-router-case.ts
+++ b/packages/measurements/src/cases/kill-router-case.ts
@@ -6,7 +6,7 @@
 import {failureLoad} from './failure-load.js';
 
 const BASELINE_MILLISECONDS = 3_000;
-const INTERVAL_MILLISECONDS = 4_000;
+const RECOVERY_MILLISECONDS = 4_000;
 
 /**
  * Kills routers that have open streams; the callers retry with the same idempotency
@@ -31,13 +31,13 @@
         const [victim] = fleet.hostsOf(name);
         if (victim !== undefined) {
           await victim.router.kill();
-          await pause(INTERVAL_MILLISECONDS);
+          await pause(RECOVERY_MILLISECONDS);
           await fleet.killHost(victim);
         }
         const replacement = await fleet.addHost(name);
         await run.waitUntilReady([replacement]);
       }
-      await pause(INTERVAL_MILLISECONDS);
+      await pause(RECOVERY_MILLISECONDS);
     });
     const {records} = run.load;
     const interrupted = records.filter(({results}) =>
--- a/packages/measurements/src/decisions-arrivals.ts
+++ b/packages/measurements/src/decisions-arrivals.ts
@@ -2,7 +2,7 @@
 import type {Timeline} from './decisions-timeline.js';
 import {
   drawRequest,
-  type CallerRequest,
+  type SimulatedRequest,
   type Demand,
 } from './decisions-workload.js';
 
@@ -18,7 +18,7 @@
   seed: number,
   timeline: Timeline,
   until: number,
-  offer: (request: CallerRequest, now: number) => void,
+  offer: (request: SimulatedRequest, now: number) => void,
 ): void {
   const random = new SeededRandom(seed, demand.organisation);
   const arrive = (now: number) => {
--- a/packages/measurements/src/decisions-attempt.ts
+++ b/packages/measurements/src/decisions-attempt.ts
@@ -2,14 +2,14 @@
 
 import type {ModelledEngine, Sequence} from './decisions-engine.js';
 import type {DecisionsTally} from './decisions-tally.js';
-import type {CallerRequest} from './decisions-workload.js';
+import type {SimulatedRequest} from './decisions-workload.js';
 
 /** An attempt at a request; each retry is a new attempt. */
 export interface Attempt {
   readonly requestId: string;
-  readonly request: CallerRequest;
+  readonly request: SimulatedRequest;
   readonly offeredAt: number;
-  readonly remainingTries: number;
+  readonly remainingRetries: number;
   readonly isCounted: boolean;
   engine: ModelledEngine | undefined;
   sequence: Sequence | undefined;
@@ -57,7 +57,7 @@
 /** Records the engine's work for an attempt that has ended. */
 export function countWork(
   tally: DecisionsTally,
-  request: CallerRequest,
+  request: SimulatedRequest,
   sequence: Sequence,
   isAnswered: boolean,
 ): void {
--- a/packages/measurements/src/decisions-cases.ts
+++ b/packages/measurements/src/decisions-cases.ts
@@ -13,6 +13,10 @@
 } from './decisions-goals.js';
 import {TUTOR_REPLY, type WorkShape} from './decisions-workload.js';
 
+/**
+ * Returns true if a time is within a span that starts `from` milliseconds after the
+ * warm-up.
+ */
 function isWithin(now: number, from: number, length: number): boolean {
   const since = now - WARM_UP_MILLISECONDS - from;
   return since >= 0 && since < length;
--- a/packages/measurements/src/decisions-cost.ts
+++ b/packages/measurements/src/decisions-cost.ts
@@ -26,6 +26,7 @@
 const REQUESTS_PER_BATCH = 500;
 /** Batches left out because the just-in-time compiler is still optimising. */
 const WARM_UP_BATCHES = 20;
+/** Used as a queue length and as a deadline in milliseconds. */
 const EFFECTIVELY_UNLIMITED = 1e9;
 const FILLED_SHARE = 0.7;
 
--- a/packages/measurements/src/decisions-fleet.ts
+++ b/packages/measurements/src/decisions-fleet.ts
@@ -27,6 +27,7 @@
 /** About ten organisations, a few of them large. */
 const WEIGHTS = [4, 3, 2, 1, 1, 1, 1, 1, 1, 1];
 const SCENARIOS_PER_ORGANISATION = 8;
+/** Used as a queue length and as a deadline in milliseconds. */
 const EFFECTIVELY_UNLIMITED = 1e9;
 /**
  * Rate in requests per second that exceeds the modelled fleet's capacity in every case.
--- a/packages/measurements/src/decisions-goals.ts
+++ b/packages/measurements/src/decisions-goals.ts
@@ -3,6 +3,7 @@
 /** Index of the organisation whose demand is scaled. */
 export const HEAVY_ORGANISATION_INDEX = 4;
 
+/** Share of its useful work that an organisation may lose. */
 const MAXIMUM_LOSS_SHARE = 0.05;
 
 /**
--- a/packages/measurements/src/decisions-simulation.ts
+++ b/packages/measurements/src/decisions-simulation.ts
@@ -18,7 +18,7 @@
 import {DecisionsTally, type DecisionsFigures} from './decisions-tally.js';
 import {Timeline} from './decisions-timeline.js';
 import {scheduleArrivals} from './decisions-arrivals.js';
-import type {CallerRequest} from './decisions-workload.js';
+import type {SimulatedRequest} from './decisions-workload.js';
 
 const SERVICE = 'tutor-models';
 const MODEL = 'tutor-7b';
@@ -114,8 +114,8 @@
   }
 
   private offer(
-    request: CallerRequest,
-    remainingTries: number,
+    request: SimulatedRequest,
+    remainingRetries: number,
     now: number,
     isRetry: boolean,
   ): void {
@@ -123,7 +123,7 @@
       requestId: `request-${this.nextRequest++}`,
       request,
       offeredAt: now,
-      remainingTries,
+      remainingRetries: remainingRetries,
       isCounted: this.isMeasured(now),
       engine: undefined,
       sequence: undefined,
@@ -297,7 +297,7 @@
     retryAfterMilliseconds: number,
   ): void {
     const {callers} = this.simulation;
-    if (attempt.remainingTries === 0) {
+    if (attempt.remainingRetries === 0) {
       return;
     }
     const delay =
@@ -305,7 +305,7 @@
         ? retryAfterMilliseconds
         : IMMEDIATE_RETRY_MILLISECONDS * (0.5 + this.random.fraction());
     this.timeline.schedule(now + delay, at => {
-      this.offer(attempt.request, attempt.remainingTries - 1, at, true);
+      this.offer(attempt.request, attempt.remainingRetries - 1, at, true);
     });
   }
 
--- a/packages/measurements/src/decisions-tally.ts
+++ b/packages/measurements/src/decisions-tally.ts
@@ -1,8 +1,8 @@
 import {WorkClass, type RefusalReason} from '@wisteriadeal/decisions';
 
-import type {CallerRequest} from './decisions-workload.js';
+import type {SimulatedRequest} from './decisions-workload.js';
 
-/** Offered and useful work of an organisation's requests. */
+/** Work of an organisation's requests: engine time in milliseconds, and tokens. */
 interface OrganisationTally {
   offeredWork: number;
   usefulWork: number;
@@ -89,11 +89,11 @@
 
   /**
    * @param workOf Returns the engine time of a request without cache hits, in
-   * milliseconds.
+   *     milliseconds.
    */
-  constructor(private readonly workOf: (request: CallerRequest) => number) {}
+  constructor(private readonly workOf: (request: SimulatedRequest) => number) {}
 
-  recordOffer(request: CallerRequest): void {
+  recordOffer(request: SimulatedRequest): void {
     this.requests++;
     this.add(this.offered, request.workClass);
     this.organisation(request).offeredWork += this.workOf(request);
@@ -107,14 +107,14 @@
     this.gaveUp++;
   }
 
-  recordFirstToken(request: CallerRequest, milliseconds: number): void {
+  recordFirstToken(request: SimulatedRequest, milliseconds: number): void {
     if (request.workClass === WorkClass.Interactive) {
       this.firstTokens.push(milliseconds);
     }
   }
 
   /** Records a complete answer whose first token met the deadline. */
-  recordAnswer(request: CallerRequest): void {
+  recordAnswer(request: SimulatedRequest): void {
     this.answeredInTime++;
     this.add(this.inTime, request.workClass);
     const organisation = this.organisation(request);
@@ -123,7 +123,7 @@
   }
 
   /** Records an answer, as in `recordAnswer`, that ended within the measured time. */
-  recordCompletion(request: CallerRequest): void {
+  recordCompletion(request: SimulatedRequest): void {
     this.completed++;
     this.completedWork += this.workOf(request);
   }
@@ -144,7 +144,7 @@
    * Returns the figures of the run.
    *
    * @param engineMilliseconds Measured time multiplied by the number of engines.
-   * @param seconds Measured time.
+   * @param seconds Measured time, in seconds.
    * @param forgotten Requests that remained in the core after the drain time.
    */
   figures(
@@ -195,7 +195,7 @@
     counts.set(workClass, (counts.get(workClass) ?? 0) + 1);
   }
 
-  private organisation(request: CallerRequest): OrganisationTally {
+  private organisation(request: SimulatedRequest): OrganisationTally {
     const existing = this.organisations.get(request.organisation);
     if (existing !== undefined) {
       return existing;
--- a/packages/measurements/src/decisions-workload.ts
+++ b/packages/measurements/src/decisions-workload.ts
@@ -14,6 +14,7 @@
   readonly sharedPromptTokens: number;
   readonly ownPromptTokens: number;
   readonly outputTokens: number;
+  /** Standard deviation of the logarithm of the own prompt and output tokens. */
   readonly sigma: number;
   /** Maximum time from the offer to the first token. */
   readonly deadlineMilliseconds: number;
@@ -32,8 +33,8 @@
   readonly scenarios: number;
 }
 
-/** A request with the token counts that it needs. */
-export interface CallerRequest {
+/** A simulated request with the token counts that it needs. */
+export interface SimulatedRequest {
   readonly organisation: string;
   readonly weight: number;
   readonly workClass: WorkClass;
@@ -101,7 +102,7 @@
 export function drawRequest(
   demand: Demand,
   random: SeededRandom,
-): CallerRequest {
+): SimulatedRequest {
   const shape = shapeOf(demand, random);
   const scenario = random.between(1, demand.scenarios);
   const own = tokensAround(shape.ownPromptTokens, shape.sigma, random);
--- a/packages/measurements/src/outcome-report.ts
+++ b/packages/measurements/src/outcome-report.ts
@@ -270,15 +270,15 @@
 /**
  * Converts a report to a case's result.
  *
- * @param own Result fields that only this case reports.
- * @param ownBroken Names of the case's own invariants that were violated.
+ * @param caseFields Result fields that only this case reports.
+ * @param caseViolations Names of the case's own invariants that were violated.
  */
 export function toCaseResult(
   report: OutcomeReport,
-  own: CaseResult['fields'] = {},
-  ownBroken: readonly string[] = [],
+  caseFields: CaseResult['fields'] = {},
+  caseViolations: readonly string[] = [],
 ): CaseResult {
-  const broken = [...report.brokenPromises, ...ownBroken];
-  const fields = {...report, ...own, brokenPromises: broken};
+  const broken = [...report.brokenPromises, ...caseViolations];
+  const fields = {...report, ...caseFields, brokenPromises: broken};
   return {fields, passed: broken.length === 0};
 }
--- a/packages/measurements/src/test/answer-checks_test.ts
+++ b/packages/measurements/src/test/answer-checks_test.ts
@@ -34,11 +34,11 @@
 }
 
 function mismatchOf(events: readonly {id: string; data: string}[]): string {
-  const check = new StreamChecker(CALL, 'req_1');
+  const checker = new StreamChecker(CALL, 'req_1');
   for (const item of events) {
-    check.addEvent(item);
+    checker.addEvent(item);
   }
-  return check.check().mismatch;
+  return checker.check().mismatch;
 }
 
 const COMPLETE_STREAM = tokens.map((text, index) => event(index, text));
--- a/packages/measurements/src/workload.ts
+++ b/packages/measurements/src/workload.ts
@@ -15,7 +15,7 @@
 /** Price of one call of a plain service, in tokens. */
 export const CALL_TOKENS = 5;
 
-/** Range of the drawn answer lengths, and the `max_tokens` of all requests. */
+/** Range of the drawn answer lengths, and the `max_tokens` of all completions. */
 const MINIMUM_ANSWER_TOKENS = 8;
 const MAXIMUM_DRAWN_ANSWER_TOKENS = 40;
 const ANSWER_TOKEN_LIMIT = 64;
