--- a/packages/command-line/src/request-tally.ts
+++ b/packages/command-line/src/request-tally.ts
@@ -56,15 +56,15 @@
       return;
     }
     this.totalRequests++;
-    const rowOf = this.row(request);
-    rowOf.requests++;
-    rowOf.boundTokens += request.bound;
+    const row = this.row(request);
+    row.requests++;
+    row.boundTokens += request.bound;
     const window = Math.floor(
       request.endedAtMilliseconds / this.windowMilliseconds,
     );
-    rowOf.requestsByWindow.set(
+    row.requestsByWindow.set(
       window,
-      (rowOf.requestsByWindow.get(window) ?? 0) + 1,
+      (row.requestsByWindow.get(window) ?? 0) + 1,
     );
   }
 
@@ -91,10 +91,7 @@
     return row;
   }
 
-  private toTallyRow({
-    requestsByWindow: requestsByWindow,
-    ...row
-  }: RowAccumulator): TallyRow {
+  private toTallyRow({requestsByWindow, ...row}: RowAccumulator): TallyRow {
     const [worstWindow = [0, 0]] = [...requestsByWindow].sort(
       (one, other) => other[1] - one[1],
     );
@@ -126,7 +123,7 @@
         outcome,
         status: typeof status === 'number' ? status : 0,
         bound: typeof bound === 'number' ? bound : 0,
-        endedAtMilliseconds: endedAtMilliseconds,
+        endedAtMilliseconds,
       };
 }
 
--- a/packages/platform/src/http-client.ts
+++ b/packages/platform/src/http-client.ts
@@ -120,7 +120,7 @@
 class CallTimeouts {
   private readonly link: HostLink;
   private readonly linkDelayMilliseconds: number;
-  private readonly answerTimeout: NetworkTimeout;
+  private readonly totalTimeout: NetworkTimeout;
   private connectTimeout: NetworkTimeout | undefined;
   /**
    * When the wait for the peer's next data began, by `performance.now`; undefined while
@@ -144,7 +144,7 @@
     );
     const total =
       timeouts.total + longPollMilliseconds + this.linkDelayMilliseconds;
-    this.answerTimeout = new NetworkTimeout(total, () => {
+    this.totalTimeout = new NetworkTimeout(total, () => {
       this.recordTimeout(longPollMilliseconds);
       fail(new CallTimeoutError(false, total));
     });
@@ -162,7 +162,7 @@
       this.recordArrival();
       this.waitingSince = performance.now();
       if (this.linkDelayMilliseconds > 0) {
-        this.answerTimeout.refresh();
+        this.totalTimeout.refresh();
       }
     });
     socket.once('close', () => {
@@ -180,7 +180,7 @@
 
   /** Cancels the timeouts. */
   close(): void {
-    this.answerTimeout.close();
+    this.totalTimeout.close();
     this.connectTimeout?.close();
   }
 
--- a/packages/stand-ins/src/engine-attempt.ts
+++ b/packages/stand-ins/src/engine-attempt.ts
@@ -12,7 +12,7 @@
 /** The state of one attempt at an engine. */
 export class EngineAttempt {
   private generated = 0;
-  private promptStepsLeft: number;
+  private remainingPromptSteps: number;
   private cancelled = false;
   private readonly listeners = new Set<() => void>();
 
@@ -21,13 +21,13 @@
     /** Sequence number of arrival. */
     readonly arrival: number,
   ) {
-    this.promptStepsLeft = work.promptSteps;
+    this.remainingPromptSteps = work.promptSteps;
   }
 
   /** Runs one step of the batch: processes part of the prompt or generates a token. */
   step(): void {
-    if (this.promptStepsLeft > 0) {
-      this.promptStepsLeft--;
+    if (this.remainingPromptSteps > 0) {
+      this.remainingPromptSteps--;
       return;
     }
     this.generated++;
--- a/packages/stand-ins/src/testing/fake-host-link.ts
+++ b/packages/stand-ins/src/testing/fake-host-link.ts
@@ -3,14 +3,14 @@
 /** A host link whose delay a test sets, and which records its calls. */
 export class FakeHostLink extends HostLink {
   override delayMilliseconds = 0;
-  /** Durations reported by `arrived`, milliseconds. */
+  /** Durations passed to `recordArrival`, in milliseconds. */
   readonly arrivals: number[] = [];
-  /** Durations reported by `expired`, milliseconds. */
+  /** Durations passed to `recordTimeout`, in milliseconds. */
   readonly expiries: number[] = [];
 
-  /** Size of the largest answer that can be transferred in time, bytes. */
+  /** Result of `maximumAnswerBytes`, in bytes. */
   answerByteLimit = Infinity;
-  /** Durations passed to `maximumAnswerBytes`, milliseconds. */
+  /** Durations passed to `maximumAnswerBytes`, in milliseconds. */
   readonly answerBytesQueries: number[] = [];
 
   override get isCongested(): boolean {
