--- a/packages/measurements/src/caller-client.ts
+++ b/packages/measurements/src/caller-client.ts
@@ -93,9 +93,9 @@
   return {...LOST_RESULT, kind: ResultKind.Answered, requestId, ...checked};
 }
 
-async function readBody(answer: StreamingResponse): Promise<Buffer> {
+async function readBody(response: StreamingResponse): Promise<Buffer> {
   const chunks: Buffer[] = [];
-  for await (const chunk of answer.body) {
+  for await (const chunk of response.body) {
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
@@ -150,15 +150,15 @@
   ): Promise<UntimedResult> {
     let requestId = '';
     try {
-      const answer = await this.open(request, signal);
-      requestId = String(answer.headers['x-request-id'] ?? '');
-      if (answer.status !== SUCCESS) {
-        return problemResult((await readBody(answer)).toString(), requestId);
+      const response = await this.open(request, signal);
+      requestId = String(response.headers['x-request-id'] ?? '');
+      if (response.status !== SUCCESS) {
+        return problemResult((await readBody(response)).toString(), requestId);
       }
       const result =
         request.kind === RequestKind.Stream
-          ? await this.readStream(request, requestId, answer, recordFirstText)
-          : await this.readWhole(request, requestId, answer);
+          ? await this.readStream(request, requestId, response, recordFirstText)
+          : await this.readWhole(request, requestId, response);
       return this.checkIdentifier(request, result);
     } catch (error) {
       const mismatch =
@@ -193,11 +193,11 @@
   private async readStream(
     call: CompletionCall,
     requestId: string,
-    answer: StreamingResponse,
+    response: StreamingResponse,
     recordFirstText: () => void,
   ): Promise<UntimedResult> {
     const checker = new StreamChecker(call, requestId);
-    for await (const event of readServerSentEvents(answer.body)) {
+    for await (const event of readServerSentEvents(response.body)) {
       if (checker.addEvent(event)) {
         recordFirstText();
       }
@@ -213,9 +213,9 @@
   private async readWhole(
     request: CallerRequest,
     requestId: string,
-    answer: StreamingResponse,
+    response: StreamingResponse,
   ): Promise<UntimedResult> {
-    const body = await readBody(answer);
+    const body = await readBody(response);
     const checked = isCompletion(request)
       ? checkUnstreamedCompletion(request, requestId, body)
       : checkServiceAnswer(request, requestId, body);
--- a/packages/measurements/src/control-client.ts
+++ b/packages/measurements/src/control-client.ts
@@ -33,13 +33,13 @@
   /** Returns the status of a GET request, or 0 if the exchange fails. */
   async status(path: string): Promise<number> {
     try {
-      const answer = await this.peer.exchange({
+      const response = await this.peer.exchange({
         step: 'read status',
         method: 'GET',
         path,
         timeouts: {connect: TIMEOUT_MILLISECONDS, total: TIMEOUT_MILLISECONDS},
       });
-      return answer.status;
+      return response.status;
     } catch {
       return 0;
     }
@@ -55,16 +55,16 @@
     path: string,
     body?: string,
   ): Promise<string> {
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step: `control ${path}`,
       method,
       path,
       ...(body === undefined ? {} : {body}),
       timeouts: {connect: TIMEOUT_MILLISECONDS, total: TIMEOUT_MILLISECONDS},
     });
-    const text = answer.body.toString();
-    if (answer.status >= MINIMUM_ERROR_STATUS) {
-      throw new Error(`${method} ${path}: HTTP ${answer.status}: ${text}`);
+    const text = response.body.toString();
+    if (response.status >= MINIMUM_ERROR_STATUS) {
+      throw new Error(`${method} ${path}: HTTP ${response.status}: ${text}`);
     }
     return text;
   }
--- a/packages/platform/src/http-engine-stream.ts
+++ b/packages/platform/src/http-engine-stream.ts
@@ -45,7 +45,7 @@
   constructor(
     private readonly endpoint: string,
     readonly attemptId: string,
-    private readonly answer: StreamingResponse,
+    private readonly response: StreamingResponse,
   ) {
     this.events = this.read();
   }
@@ -55,12 +55,12 @@
   }
 
   detach(): void {
-    this.answer.body.destroy();
+    this.response.body.destroy();
   }
 
   private async *read(): AsyncGenerator<EngineEvent> {
     try {
-      for await (const event of readServerSentEvents(this.answer.body)) {
+      for await (const event of readServerSentEvents(this.response.body)) {
         if (event.data === END_MARKER) {
           this.confirmedEnd = this.pendingEnd;
           continue;
@@ -74,7 +74,7 @@
     } catch (error) {
       throw toStepError(STEP, this.endpoint, error);
     } finally {
-      this.answer.body.destroy();
+      this.response.body.destroy();
     }
   }
 
--- a/packages/platform/src/http-host-list.ts
+++ b/packages/platform/src/http-host-list.ts
@@ -65,19 +65,19 @@
   override async read(signal?: AbortSignal): Promise<HostListing> {
     const step = 'read the host list';
     const limit = this.options.timeoutMilliseconds;
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method: 'GET',
       path: `/hosts?viewer=${encodeURIComponent(this.options.viewer)}`,
       timeouts: {connect: limit, total: limit},
       signal,
     });
-    if (answer.status !== SUCCESS) {
-      const reason = `HTTP ${answer.status}`;
+    if (response.status !== SUCCESS) {
+      const reason = `HTTP ${response.status}`;
       throw new StepError(step, this.peer.peer, Fate.NotDone, reason);
     }
     try {
-      const fields = parseFields(answer.body.toString());
+      const fields = parseFields(response.body.toString());
       return {
         hosts: listField(fields, 'hosts').map(toHost),
         endpoints: listField(fields, 'endpoints').map(toEndpoint),
--- a/packages/platform/src/http-log-client.ts
+++ b/packages/platform/src/http-log-client.ts
@@ -55,7 +55,7 @@
   ): Promise<number> {
     const step = `append to ${stream}`;
     const limit = this.options.timeoutMilliseconds;
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method: 'POST',
       path: `/streams/${encodeURIComponent(stream)}/records`,
@@ -64,15 +64,20 @@
       timeouts: {connect: limit, total: limit},
       signal,
     });
-    if (answer.status !== CREATED) {
+    if (response.status !== CREATED) {
       // The server may fail after it stored the record; only a rejection of the
       // request itself proves that the record was not stored.
       const fate =
-        answer.status >= FIRST_SERVER_ERROR ? Fate.Unknown : Fate.NotDone;
-      throw new StepError(step, this.peer.peer, fate, `HTTP ${answer.status}`);
+        response.status >= FIRST_SERVER_ERROR ? Fate.Unknown : Fate.NotDone;
+      throw new StepError(
+        step,
+        this.peer.peer,
+        fate,
+        `HTTP ${response.status}`,
+      );
     }
     try {
-      return numberField(parseFields(answer.body.toString()), 'offset');
+      return numberField(parseFields(response.body.toString()), 'offset');
     } catch (error) {
       throw toStepError(step, this.peer.peer, error);
     }
@@ -89,17 +94,17 @@
     const timeout = this.options.timeoutMilliseconds;
     const query = `from=${fromOffset}&limit=${limit}&waitMilliseconds=${waitMilliseconds}`;
     try {
-      const answer = await this.peer.exchange({
+      const response = await this.peer.exchange({
         step,
         method: 'GET',
         path: `/streams/${encodeURIComponent(stream)}/records?${query}`,
         timeouts: {connect: timeout, total: timeout + waitMilliseconds},
         signal,
       });
-      if (answer.status !== SUCCESS) {
-        throw new Error(`HTTP ${answer.status}`);
+      if (response.status !== SUCCESS) {
+        throw new Error(`HTTP ${response.status}`);
       }
-      const fields = parseFields(answer.body.toString());
+      const fields = parseFields(response.body.toString());
       return {
         records: listField(fields, 'records').map(toRecord),
         firstOffset: numberField(fields, 'firstOffset'),
--- a/packages/platform/src/http-model-engine.ts
+++ b/packages/platform/src/http-model-engine.ts
@@ -153,7 +153,7 @@
     signal?: AbortSignal,
   ): Promise<boolean> {
     const step = 'send an order';
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method: 'POST',
       path: '/orders',
@@ -162,10 +162,10 @@
       timeouts: this.callTimeouts(),
       signal,
     });
-    if (answer.status !== SUCCESS && answer.status !== CONFLICT) {
-      throw this.statusError(step, Fate.Unknown, answer.status);
+    if (response.status !== SUCCESS && response.status !== CONFLICT) {
+      throw this.statusError(step, Fate.Unknown, response.status);
     }
-    return answer.status === SUCCESS;
+    return response.status === SUCCESS;
   }
 
   override close(): Promise<void> {
@@ -176,21 +176,22 @@
     attemptId: string,
     exchange: Exchange,
   ): Promise<EngineStream> {
-    const answer = await this.peer.open(exchange);
+    const response = await this.peer.open(exchange);
     try {
-      if (answer.status !== SUCCESS) {
+      if (response.status !== SUCCESS) {
         // With 503 the engine states that it did not start the request; other server
         // errors may come from a request that had started.
         const refused =
-          answer.status < FIRST_SERVER_ERROR || answer.status === UNAVAILABLE;
+          response.status < FIRST_SERVER_ERROR ||
+          response.status === UNAVAILABLE;
         const fate = refused ? Fate.NotDone : Fate.Unknown;
-        throw this.statusError(exchange.step, fate, answer.status);
+        throw this.statusError(exchange.step, fate, response.status);
       }
-      const echoed = answer.headers[ATTEMPT_HEADER];
+      const echoed = response.headers[ATTEMPT_HEADER];
       checkAttemptEcho(exchange.step, this.endpoint, attemptId, echoed);
-      return new HttpEngineStream(this.endpoint, attemptId, answer);
+      return new HttpEngineStream(this.endpoint, attemptId, response);
     } catch (error) {
-      answer.body.destroy();
+      response.body.destroy();
       throw error;
     }
   }
@@ -202,17 +203,17 @@
     signal: AbortSignal | undefined,
   ): Promise<AttemptStatus> {
     const path = `/v1/attempts/${encodeURIComponent(attemptId)}`;
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method,
       path,
       timeouts: this.callTimeouts(),
       signal,
     });
-    if (answer.status === NOT_FOUND) {
+    if (response.status === NOT_FOUND) {
       return UNKNOWN_ATTEMPT;
     }
-    return toStatus(this.parseAnswer(step, answer));
+    return toStatus(this.parseAnswer(step, response));
   }
 
   private async requestJson(
@@ -222,25 +223,25 @@
     signal: AbortSignal | undefined,
   ): Promise<JsonFields> {
     const timeouts = this.callTimeouts();
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method,
       path,
       timeouts,
       signal,
     });
-    return this.parseAnswer(step, answer);
+    return this.parseAnswer(step, response);
   }
 
   private parseAnswer(
     step: string,
-    answer: {readonly status: number; readonly body: Buffer},
+    response: {readonly status: number; readonly body: Buffer},
   ): JsonFields {
-    if (answer.status !== SUCCESS) {
-      throw this.statusError(step, Fate.Unknown, answer.status);
+    if (response.status !== SUCCESS) {
+      throw this.statusError(step, Fate.Unknown, response.status);
     }
     try {
-      return parseFields(answer.body.toString());
+      return parseFields(response.body.toString());
     } catch (error) {
       throw toStepError(step, this.endpoint, error);
     }
--- a/packages/platform/src/http-peer.ts
+++ b/packages/platform/src/http-peer.ts
@@ -110,7 +110,7 @@
    * @throws StepError with fate NotDone only if no connection was established.
    * @example
    * ```ts
-   * const answer = await peer.open({step: 'read load', method: 'GET', …});
+   * const response = await peer.open({step: 'read load', method: 'GET', …});
    * ```
    */
   async open(exchange: Exchange): Promise<StreamingResponse> {
@@ -155,19 +155,19 @@
    */
   async exchange(
     exchange: Exchange,
-    check?: (answer: StreamingResponse) => void,
+    check?: (response: StreamingResponse) => void,
   ): Promise<BufferedResponse> {
-    const answer = await this.open(exchange);
+    const response = await this.open(exchange);
     try {
-      check?.(answer);
+      check?.(response);
       const chunks: Buffer[] = [];
-      for await (const chunk of answer.body) {
+      for await (const chunk of response.body) {
         chunks.push(chunk as Buffer);
       }
-      const {status, headers} = answer;
+      const {status, headers} = response;
       return {status, headers, body: Buffer.concat(chunks)};
     } catch (error) {
-      answer.body.destroy();
+      response.body.destroy();
       throw toStepError(exchange.step, this.peer, error);
     }
   }
--- a/packages/platform/src/http-plain-service.ts
+++ b/packages/platform/src/http-plain-service.ts
@@ -18,15 +18,15 @@
 const CALL_STEP = 'call a plain service';
 const OUTCOME_STEP = 'look up an outcome';
 
-function toAnswer(answer: BufferedResponse): PlainAnswer {
-  const contentType = answer.headers['content-type'];
+function toAnswer(response: BufferedResponse): PlainAnswer {
+  const contentType = response.headers['content-type'];
   return {
-    status: answer.status,
+    status: response.status,
     contentType:
       typeof contentType === 'string'
         ? contentType
         : 'application/octet-stream',
-    body: answer.body,
+    body: response.body,
   };
 }
 
@@ -51,7 +51,7 @@
     call: PlainCall,
     signal?: AbortSignal,
   ): Promise<PlainAnswer> {
-    const answer = await this.peer.exchange(
+    const response = await this.peer.exchange(
       {
         step: CALL_STEP,
         method: call.method,
@@ -71,7 +71,7 @@
         checkAttemptEcho(CALL_STEP, this.endpoint, call.attemptId, echoed);
       },
     );
-    return toAnswer(answer);
+    return toAnswer(response);
   }
 
   override async outcome(
@@ -79,21 +79,21 @@
     requestId: string,
     signal?: AbortSignal,
   ): Promise<PlainAnswer | undefined> {
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step: OUTCOME_STEP,
       method: 'GET',
       path: `${path}?requestId=${encodeURIComponent(requestId)}`,
       timeouts: this.timeouts(),
       signal,
     });
-    if (answer.status === NOT_FOUND) {
+    if (response.status === NOT_FOUND) {
       return undefined;
     }
-    if (answer.status !== SUCCESS) {
-      const reason = `HTTP ${answer.status}`;
+    if (response.status !== SUCCESS) {
+      const reason = `HTTP ${response.status}`;
       throw new StepError(OUTCOME_STEP, this.endpoint, Fate.NotDone, reason);
     }
-    return toAnswer(answer);
+    return toAnswer(response);
   }
 
   override close(): Promise<void> {
--- a/packages/platform/src/http-weight-store.ts
+++ b/packages/platform/src/http-weight-store.ts
@@ -28,7 +28,7 @@
   ): Promise<WeightTicket | {readonly retryAfterMilliseconds: number}> {
     const step = 'request a weight ticket';
     const limit = this.options.timeoutMilliseconds;
-    const answer = await this.peer.exchange({
+    const response = await this.peer.exchange({
       step,
       method: 'POST',
       path: `/weights/${encodeURIComponent(artifact)}/tickets`,
@@ -36,8 +36,8 @@
       signal,
     });
     try {
-      const fields = () => parseFields(answer.body.toString());
-      switch (answer.status) {
+      const fields = () => parseFields(response.body.toString());
+      switch (response.status) {
         case CREATED:
           return {ticket: stringField(fields(), 'ticket')};
         case TOO_MANY_REQUESTS: {
@@ -49,7 +49,7 @@
             step,
             this.peer.peer,
             Fate.Unknown,
-            `HTTP ${answer.status}`,
+            `HTTP ${response.status}`,
           );
       }
     } catch (error) {
--- a/packages/platform/src/test/http-client_test.ts
+++ b/packages/platform/src/test/http-client_test.ts
@@ -56,10 +56,10 @@
         });
       }),
     );
-    const answer = await call({...CALL, method: 'POST', body: 'records'});
-    expect(answer.status).toBe(410);
-    expect(answer.headers['x-first']).toBe('7');
-    expect(answer.body.toString()).toBe('POST /records?from=3 records');
+    const response = await call({...CALL, method: 'POST', body: 'records'});
+    expect(response.status).toBe(410);
+    expect(response.headers['x-first']).toBe('7');
+    expect(response.body.toString()).toBe('POST /records?from=3 records');
   });
 
   it('reuses its connection for the next call', async () => {
