--- a/packages/command-line/src/commands/publish.ts
+++ b/packages/command-line/src/commands/publish.ts
@@ -16,10 +16,10 @@
 
 function refusalError(result: PublicationResult, file: string): CommandError {
   if (result.outcome === PublicationOutcome.Overtaken) {
-    const winner = result.operatorInForce || 'another operator';
+    const otherOperator = result.operatorInForce || 'another operator';
     return new CommandError(
       ExitCode.Overtaken,
-      `Not published: ${result.reason}. ${winner} published version ${result.version} first; nothing of yours is in force.`,
+      `Not published: ${result.reason}. ${otherOperator} published version ${result.version} first; nothing of yours is in force.`,
       `Merge that change into your configuration, then run "wisteriadeal publish ${file}" to see the difference again.`,
     );
   }
--- a/packages/measurements/src/budget-replay-scenarios.ts
+++ b/packages/measurements/src/budget-replay-scenarios.ts
@@ -51,7 +51,7 @@
   {hosts: ALL_HOSTS, from: 5.6, to: 13.9},
   {hosts: ALL_HOSTS, from: 24, to: 32.6},
 ];
-const FINAL_POWER_LOSS: HostSpan = {hosts: ALL_HOSTS, from: 41.4, to: 42.4};
+const POWER_LOSS: HostSpan = {hosts: ALL_HOSTS, from: 41.4, to: 42.4};
 
 /** Scenarios modelled on days of the users' deployments. */
 export const REPLAY_SCENARIOS: readonly ReplayScenario[] = [
@@ -63,13 +63,13 @@
     storeOutages: TWO_STORE_OUTAGES,
     burst: {from: 15, to: 30, factor: 3},
   },
-  {...NO_FAULTS, name: 'all-die', hostFailures: [FINAL_POWER_LOSS]},
+  {...NO_FAULTS, name: 'all-die', hostFailures: [POWER_LOSS]},
   {
     ...NO_FAULTS,
     name: 'cuts-and-all-die',
     storeOutages: TWO_STORE_OUTAGES,
     dataCenterPartitions: [{hosts: FIRST_DATA_CENTER, from: 33.5, to: 39}],
-    hostFailures: [FINAL_POWER_LOSS],
+    hostFailures: [POWER_LOSS],
     burst: {from: 15, to: 21, factor: 2.6},
   },
   {
--- a/packages/measurements/src/cases/configuration-in-force-case.ts
+++ b/packages/measurements/src/cases/configuration-in-force-case.ts
@@ -115,7 +115,7 @@
     );
     const secondsAfterHeal = await secondsUntilInForce(4);
 
-    const winners = outcomes.filter(
+    const acceptedCount = outcomes.filter(
       outcome => outcome === PublicationOutcome.Accepted,
     ).length;
     const seconds = {
@@ -127,7 +127,7 @@
       ...seconds,
       lateVersions: Object.values(seconds).filter(value => value < 0).length,
       raceOutcomes: outcomes,
-      wrongWinners: Math.abs(winners - 1),
+      wrongWinners: Math.abs(acceptedCount - 1),
       replacedVersion,
     };
   }
@@ -144,9 +144,9 @@
     watch: VersionWatch,
   ): Promise<number> {
     const {fleet} = run;
-    const [victim] = fleet.hostsOf(ISOLATED_DATA_CENTER);
-    if (victim !== undefined) {
-      await fleet.killHost(victim);
+    const [replacedHost] = fleet.hostsOf(ISOLATED_DATA_CENTER);
+    if (replacedHost !== undefined) {
+      await fleet.killHost(replacedHost);
     }
     const replacement = await fleet.addHost(ISOLATED_DATA_CENTER);
     const processes = () => processesOf([replacement]);
--- a/packages/measurements/src/cases/kill-router-case.ts
+++ b/packages/measurements/src/cases/kill-router-case.ts
@@ -28,11 +28,11 @@
       await pause(BASELINE_MILLISECONDS);
       killedAt = performance.now();
       for (const {name} of fleet.plan.dataCenters) {
-        const [victim] = fleet.hostsOf(name);
-        if (victim !== undefined) {
-          await victim.router.kill();
+        const [killedHost] = fleet.hostsOf(name);
+        if (killedHost !== undefined) {
+          await killedHost.router.kill();
           await pause(RECOVERY_MILLISECONDS);
-          await fleet.killHost(victim);
+          await fleet.killHost(killedHost);
         }
         const replacement = await fleet.addHost(name);
         await run.waitUntilReady([replacement]);
--- a/packages/measurements/src/cases/pause-holder-case.ts
+++ b/packages/measurements/src/cases/pause-holder-case.ts
@@ -30,10 +30,10 @@
       await pause(BASELINE_MILLISECONDS);
       pausedAt = performance.now();
       for (const {name} of fleet.plan.dataCenters) {
-        const [victim] = fleet.hostsOf(name);
-        victim?.keeper.pause();
+        const [pausedHost] = fleet.hostsOf(name);
+        pausedHost?.keeper.pause();
         await pause(PAUSE_MILLISECONDS);
-        victim?.keeper.resume();
+        pausedHost?.keeper.resume();
         await pause(RECOVERY_MILLISECONDS);
       }
     });
--- a/packages/measurements/src/cases/two-hosts-killed-case.ts
+++ b/packages/measurements/src/cases/two-hosts-killed-case.ts
@@ -34,8 +34,8 @@
     await run.loadWhile(async () => {
       await pause(BASELINE_MILLISECONDS);
       killedAt = performance.now();
-      const victims = fleet.hostsOf(dataCenter).slice(0, 2);
-      await Promise.all(victims.map(host => fleet.killHost(host)));
+      const killedHosts = fleet.hostsOf(dataCenter).slice(0, 2);
+      await Promise.all(killedHosts.map(host => fleet.killHost(host)));
       await pause(REPLACEMENT_DELAY_MILLISECONDS);
       const added = [
         await fleet.addHost(dataCenter),
--- a/packages/measurements/src/decisions-simulation.ts
+++ b/packages/measurements/src/decisions-simulation.ts
@@ -35,7 +35,7 @@
   private readonly timeline = new Timeline();
   private readonly core: LoadCore;
   private readonly engines: ReadonlyMap<string, ModelledEngine>;
-  private readonly stepping = new Set<ModelledEngine>();
+  private readonly enginesInStep = new Set<ModelledEngine>();
   private readonly attempts = new Map<string, Attempt>();
   private readonly tally: DecisionsTally;
   private readonly random: SeededRandom;
@@ -204,12 +204,12 @@
   }
 
   private step(engine: ModelledEngine, now: number): void {
-    if (this.stepping.has(engine) || engine.isIdle) {
+    if (this.enginesInStep.has(engine) || engine.isIdle) {
       return;
     }
-    this.stepping.add(engine);
+    this.enginesInStep.add(engine);
     this.timeline.schedule(now + engine.beginStep(now), at => {
-      this.stepping.delete(engine);
+      this.enginesInStep.delete(engine);
       const {firstTokens, finished} = engine.endStep();
       const receivedAt = at + this.oneWayMilliseconds(engine);
       for (const {requestId} of firstTokens) {
--- a/packages/measurements/src/outcome-report.ts
+++ b/packages/measurements/src/outcome-report.ts
@@ -154,7 +154,7 @@
   private counts(): Omit<OutcomeReport, 'brokenPromises'> {
     const answered = this.recordsEndingIn(ResultKind.Answered);
     const {organisations} = this.ledger;
-    const finals = answered.flatMap(record => record.final ?? []);
+    const finalResults = answered.flatMap(record => record.final ?? []);
     const bills = [...this.ledger.bills.values()];
     return {
       requests: this.records.length,
@@ -170,15 +170,15 @@
       ),
       falseRefusals: this.falseRefusals.length,
       p50Milliseconds: percentile(
-        finals.map(result => result.milliseconds),
+        finalResults.map(result => result.milliseconds),
         P50_PERCENTILE,
       ),
       p99Milliseconds: percentile(
-        finals.map(result => result.milliseconds),
+        finalResults.map(result => result.milliseconds),
         P99_PERCENTILE,
       ),
       p99FirstTokenMilliseconds: percentile(
-        finals.map(result => result.firstMilliseconds),
+        finalResults.map(result => result.firstMilliseconds),
         P99_PERCENTILE,
       ),
       retries: sum(this.records.map(record => record.results.length - 1)),
