--- a/packages/measurements/src/caller-client.ts
+++ b/packages/measurements/src/caller-client.ts
@@ -158,7 +158,7 @@
       const result =
         request.kind === RequestKind.Stream
           ? await this.readStream(request, requestId, response, recordFirstText)
-          : await this.readWhole(request, requestId, response);
+          : await this.readUnstreamed(request, requestId, response);
       return this.checkIdentifier(request, result);
     } catch (error) {
       const mismatch =
@@ -210,7 +210,7 @@
       : {...LOST_RESULT, requestId};
   }
 
-  private async readWhole(
+  private async readUnstreamed(
     request: CallerRequest,
     requestId: string,
     response: StreamingResponse,
--- a/packages/platform/src/http-model-engine.ts
+++ b/packages/platform/src/http-model-engine.ts
@@ -213,7 +213,7 @@
     if (response.status === NOT_FOUND) {
       return UNKNOWN_ATTEMPT;
     }
-    return toStatus(this.parseAnswer(step, response));
+    return toStatus(this.parseResponse(step, response));
   }
 
   private async requestJson(
@@ -230,10 +230,10 @@
       timeouts,
       signal,
     });
-    return this.parseAnswer(step, response);
+    return this.parseResponse(step, response);
   }
 
-  private parseAnswer(
+  private parseResponse(
     step: string,
     response: {readonly status: number; readonly body: Buffer},
   ): JsonFields {
