--- a/packages/gateway/src/test/gateway-limits_test.ts
+++ b/packages/gateway/src/test/gateway-limits_test.ts
@@ -16,7 +16,11 @@
     });
     expect(gatewayLimits(settings)).toEqual({
       stopGraceMilliseconds: 7_500,
-      resends: {ratio: 0.25, extra: 190.5, windowMilliseconds: 7_250},
+      resends: {
+        resendsPerRequest: 0.25,
+        extraResends: 190.5,
+        windowMilliseconds: 7_250,
+      },
       endpointDrainMilliseconds: 3_000.5,
       storeRetentionMilliseconds: 20_500,
       linkBytesPerSecond: 0,
@@ -28,7 +32,11 @@
     const limits = gatewayLimits(create(GatewaySettingsSchema));
     expect(limits).toEqual({
       stopGraceMilliseconds: 8_000,
-      resends: {ratio: 0, extra: 0, windowMilliseconds: 10_000},
+      resends: {
+        resendsPerRequest: 0,
+        extraResends: 0,
+        windowMilliseconds: 10_000,
+      },
       endpointDrainMilliseconds: 2_000,
       storeRetentionMilliseconds: 20_000,
       linkBytesPerSecond: 0,
