--- a/packages/gateway/src/caller-connections.ts
+++ b/packages/gateway/src/caller-connections.ts
@@ -6,7 +6,7 @@
   /** Connections that are open. */
   readonly connections: number;
   /** Of those, the connections on which part of a request head was read. */
-  readonly begunRequests: number;
+  readonly partialRequests: number;
   /** Requests whose answer has not ended. */
   readonly runningRequests: number;
   /**
@@ -187,7 +187,7 @@
     ).length;
     return {
       connections: connections.length,
-      begunRequests: connections.filter(({hasPartialHead}) => hasPartialHead)
+      partialRequests: connections.filter(({hasPartialHead}) => hasPartialHead)
         .length,
       runningRequests: answers.length - unsentAnswers,
       unsentAnswers,
--- a/packages/gateway/src/endpoint-directory.ts
+++ b/packages/gateway/src/endpoint-directory.ts
@@ -227,7 +227,7 @@
     const now = this.clock.monotonicMilliseconds();
     if (this.health.millisecondsSinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
       this.lapsed.set(id, now);
-      this.events.warn('endpoint lapsed', {endpoint: id});
+      this.events.warn('unlisted endpoint kept', {endpoint: id});
       return;
     }
     this.endpoints.delete(id);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -263,7 +263,7 @@
   reload(settings: GatewaySettings): void {
     this.handler.setResendLimits(gatewayLimits(settings).resends);
     this.handler.setUndeliveredCharge(undeliveredCharge(settings));
-    this.parts.events.info('settings read again', {host: settings.host});
+    this.parts.events.info('settings reloaded', {host: settings.host});
   }
 
   private createBudgets(): BudgetHolder {
--- a/packages/gateway/src/graceful-stop.ts
+++ b/packages/gateway/src/graceful-stop.ts
@@ -72,7 +72,7 @@
     handler.beginStop(new StopAdmission(this.deregisteredAt, this.cutAt));
     this.logStep('stopping');
     await this.waitUntil(this.cutAt, this.waitForDeregistration());
-    this.logStep('notice over');
+    this.logStep('deregistration wait ended');
     const cutEndsAt =
       Math.max(this.cutAt, this.now()) + CUT_SETTLEMENT_MILLISECONDS;
     await this.waitUntil(cutEndsAt, this.waitForRequests());
--- a/packages/gateway/src/link-monitor.ts
+++ b/packages/gateway/src/link-monitor.ts
@@ -165,7 +165,10 @@
     this.nextLogAt = this.isFull
       ? this.fullSince + LOG_INTERVAL_MILLISECONDS
       : Infinity;
-    this.events.info('link', {isFull: this.isFull, ...this.fields});
+    this.events.info('link state changed', {
+      isFull: this.isFull,
+      ...this.fields,
+    });
   }
 
   private logWhileFull(): void {
--- a/packages/gateway/src/load-report.ts
+++ b/packages/gateway/src/load-report.ts
@@ -51,8 +51,8 @@
   private readonly refused = new RequestTally();
   private connections = 0;
   private requests = 0;
-  private longestUnseen = 0;
-  private longestTurn = 0;
+  private longestUnseenMilliseconds = 0;
+  private longestTurnMilliseconds = 0;
   private lastReportAt = 0;
 
   constructor(private readonly events: EventLog) {}
@@ -64,13 +64,19 @@
 
   /** Records the duration of an event loop turn. */
   turnEnded(milliseconds: number): void {
-    this.longestTurn = Math.max(this.longestTurn, milliseconds);
+    this.longestTurnMilliseconds = Math.max(
+      this.longestTurnMilliseconds,
+      milliseconds,
+    );
   }
 
   /** Counts a request that was read. */
   requestRead(unseenMilliseconds: number): void {
     this.requests++;
-    this.longestUnseen = Math.max(this.longestUnseen, unseenMilliseconds);
+    this.longestUnseenMilliseconds = Math.max(
+      this.longestUnseenMilliseconds,
+      unseenMilliseconds,
+    );
   }
 
   /**
@@ -97,14 +103,14 @@
     }
     const isLate =
       reading.busyMilliseconds >= LATE_THRESHOLD_MILLISECONDS ||
-      this.longestUnseen >= LATE_THRESHOLD_MILLISECONDS;
+      this.longestUnseenMilliseconds >= LATE_THRESHOLD_MILLISECONDS;
     if (isLate || !this.left.isEmpty || !this.refused.isEmpty) {
       const left = this.left.takeAndReset();
       const refused = this.refused.takeAndReset();
-      this.events.warn('host late', {
+      this.events.warn('host falling behind', {
         busyMilliseconds: Math.round(reading.busyMilliseconds),
-        longestTurnMilliseconds: Math.round(this.longestTurn),
-        longestUnseenMilliseconds: Math.round(this.longestUnseen),
+        longestTurnMilliseconds: Math.round(this.longestTurnMilliseconds),
+        longestUnseenMilliseconds: Math.round(this.longestUnseenMilliseconds),
         connections: this.connections,
         requests: this.requests,
         open,
@@ -117,7 +123,7 @@
     this.lastReportAt = now;
     this.connections = 0;
     this.requests = 0;
-    this.longestUnseen = 0;
-    this.longestTurn = 0;
+    this.longestUnseenMilliseconds = 0;
+    this.longestTurnMilliseconds = 0;
   }
 }
--- a/packages/gateway/src/store-health.ts
+++ b/packages/gateway/src/store-health.ts
@@ -141,7 +141,7 @@
     }
     this.calledAt = undefined;
     if (this.failingSince !== undefined) {
-      this.events.info('store regained', {
+      this.events.info('store available again', {
         topic: this.topic,
         unavailableMilliseconds: Math.round(now - this.failingSince),
       });
@@ -165,7 +165,7 @@
       this.failingSince = now;
       this.failures = 1;
       this.loggedAt = now;
-      this.events.warn('store lost', {
+      this.events.warn('store unavailable', {
         topic: this.topic,
         reason: String(error),
         isLinkDelay,
@@ -175,7 +175,7 @@
     this.failures++;
     if (now - this.loggedAt >= LOG_INTERVAL_MILLISECONDS) {
       this.loggedAt = now;
-      this.events.warn('store still lost', {
+      this.events.warn('store still unavailable', {
         topic: this.topic,
         unavailableMilliseconds: Math.round(this.unavailableMilliseconds(now)),
         failures: this.failures,
--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -62,7 +62,7 @@
   hosts.forEach(host => fleet.isolatedHosts.add(host));
   const isLost = (host: string) =>
     fleet.events.some(
-      line => line.event === 'store lost' && line.host === host,
+      line => line.event === 'store unavailable' && line.host === host,
     );
   await waitUntil(() => hosts.every(isLost));
 }
@@ -130,7 +130,7 @@
     fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
-        ({event, host}) => event === 'store lost' && host === 'one',
+        ({event, host}) => event === 'store unavailable' && host === 'one',
       ),
     );
     const before = available(stopping) + available(staying);
@@ -149,7 +149,7 @@
     fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
-        ({event, host}) => event === 'store lost' && host === 'one',
+        ({event, host}) => event === 'store unavailable' && host === 'one',
       ),
     );
     await stopping.close();
@@ -280,10 +280,15 @@
       // Guards against a late answer that is treated as an outage.
       vi.spyOn(fleet.log, 'read').mockRejectedValueOnce(callTimeout());
       await withFakeTimers(
-        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
+        waitUntil(() =>
+          fleet.events.some(({event}) => event === 'store unavailable'),
+        ),
       );
       expect(fleet.events).toContainEqual(
-        expect.objectContaining({event: 'store lost', isLinkDelay: true}),
+        expect.objectContaining({
+          event: 'store unavailable',
+          isLinkDelay: true,
+        }),
       );
       expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
     });
@@ -294,7 +299,9 @@
         Promise.reject(callTimeout()),
       );
       await withFakeTimers(
-        waitUntil(() => fleet.events.some(({event}) => event === 'store lost')),
+        waitUntil(() =>
+          fleet.events.some(({event}) => event === 'store unavailable'),
+        ),
       );
       await vi.advanceTimersByTimeAsync(3_000);
       const startedAt = performance.now();
@@ -486,7 +493,7 @@
       fleet.log.faults.isUnavailable = true;
       await waitUntil(() =>
         fleet.events.some(
-          ({event, host}) => event === 'store lost' && host === 'one',
+          ({event, host}) => event === 'store unavailable' && host === 'one',
         ),
       );
       fleet.faults.losesAnswers = true;
@@ -523,7 +530,7 @@
     fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
       fleet.events.some(
-        ({event, host}) => event === 'store lost' && host === 'one',
+        ({event, host}) => event === 'store unavailable' && host === 'one',
       ),
     );
     fleet.link.delayMilliseconds = 200;
@@ -539,7 +546,8 @@
     await waitUntil(() =>
       ['one', 'two'].every(host =>
         fleet.events.some(
-          ({event, host: of}) => event === 'store regained' && of === host,
+          ({event, host: of}) =>
+            event === 'store available again' && of === host,
         ),
       ),
     );
@@ -623,7 +631,7 @@
     );
     fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
-      fleet.events.some(({event}) => event === 'store lost'),
+      fleet.events.some(({event}) => event === 'store unavailable'),
     );
     expect(
       await holder.reservations.reserve(SCHOOL, tokenRequest(bound, true)),
--- a/packages/gateway/src/test/caller-connections_test.ts
+++ b/packages/gateway/src/test/caller-connections_test.ts
@@ -69,14 +69,14 @@
     const counts = () => connections.counts;
     await callerSends('');
     await until(() => counts().connections === 1);
-    expect(counts()).toMatchObject({begunRequests: 0, runningRequests: 0});
+    expect(counts()).toMatchObject({partialRequests: 0, runningRequests: 0});
 
     const caller = await callerSends('GET / HT');
-    await until(() => counts().begunRequests === 1);
+    await until(() => counts().partialRequests === 1);
 
     caller.write('TP/1.1\r\nHost: shop.example\r\n\r\n');
     const response = await nextResponse();
-    expect(counts()).toMatchObject({begunRequests: 0, runningRequests: 1});
+    expect(counts()).toMatchObject({partialRequests: 0, runningRequests: 1});
 
     caller.pause();
     response.end(LONG_ANSWER);
@@ -86,19 +86,19 @@
     await until(() => counts().unsentAnswers === 0);
     expect(counts()).toEqual({
       connections: 2,
-      begunRequests: 0,
+      partialRequests: 0,
       runningRequests: 0,
       unsentAnswers: 0,
     });
 
     caller.write('G');
-    await until(() => counts().begunRequests === 1);
+    await until(() => counts().partialRequests === 1);
   });
 
   it('answers 408 to an incomplete request head while draining', async () => {
     // Guards against a stop that waits for a caller that stopped sending.
     const caller = await callerSends('GET / HT');
-    await until(() => connections.counts.begunRequests === 1);
+    await until(() => connections.counts.partialRequests === 1);
     const refused = once(caller, 'data');
     await connections.drain();
     const [refusal] = (await refused) as [Buffer];
@@ -111,7 +111,7 @@
     const accepted = once(server, 'connection');
     const caller = await callerSends('GET / HT');
     const [socket] = (await accepted) as [Socket];
-    await until(() => connections.counts.begunRequests === 1);
+    await until(() => connections.counts.partialRequests === 1);
     const destroy = vi.spyOn(socket, 'destroy').mockReturnValue(socket);
     const refused = once(caller, 'data');
     const drained = connections.drain();
--- a/packages/gateway/src/test/store-health_test.ts
+++ b/packages/gateway/src/test/store-health_test.ts
@@ -176,13 +176,15 @@
   }
 
   function stillLost(): readonly Record<string, unknown>[] {
-    return lines.filter(({event}) => event === 'store still lost');
+    return lines.filter(({event}) => event === 'store still unavailable');
   }
 
   it('logs every two seconds that calls keep failing', () => {
     // Guards against an outage of which only the first failure is logged.
     failEach(500, 1_000, 6_000);
-    expect(lines.filter(({event}) => event === 'store lost')).toHaveLength(1);
+    expect(
+      lines.filter(({event}) => event === 'store unavailable'),
+    ).toHaveLength(1);
     expect(stillLost()).toMatchObject([
       {
         topic: 'budgets',
--- a/packages/gateway/src/token-reservations.ts
+++ b/packages/gateway/src/token-reservations.ts
@@ -66,9 +66,9 @@
    */
   async reserve(
     organisation: string,
-    wish: TokenRequest,
+    request: TokenRequest,
   ): Promise<ReserveResult> {
-    const {bound, mayPromise} = wish;
+    const {bound, mayPromise} = request;
     const budget = this.registry.get(organisation);
     if (budget === undefined || bound === 0) {
       return {reservation: emptyReservation(organisation)};
@@ -97,7 +97,7 @@
       return {refusal: BudgetRefusal.Exhausted};
     }
     const result = budget.reserveWhenAvailable(bound, {
-      milliseconds: this.grantWaitMilliseconds(wish),
+      milliseconds: this.grantWaitMilliseconds(request),
       refusal: () => this.registry.timeoutRefusal(budget, bound),
     });
     return this.awaitTokens(budget, result);
