--- a/packages/gateway/src/budget-codec.ts
+++ b/packages/gateway/src/budget-codec.ts
@@ -8,7 +8,7 @@
 
 import {FastMessageDecoder} from './fast-message-decoder.js';
 
-const RECORD_READER = new FastMessageDecoder(BudgetRecordSchema);
+const RECORD_DECODER = new FastMessageDecoder(BudgetRecordSchema);
 
 /** The change that a record describes. */
 export type BudgetChange = Exclude<
@@ -33,7 +33,7 @@
 /** Decodes a record; undefined for other bytes, which the fold skips. */
 export function decodeRecord(bytes: Uint8Array): BudgetRecord | undefined {
   return (
-    RECORD_READER.decode(bytes) ??
+    RECORD_DECODER.decode(bytes) ??
     tryDecode(() => fromBinary(BudgetRecordSchema, bytes))
   );
 }
--- a/packages/gateway/src/caller-listener.ts
+++ b/packages/gateway/src/caller-listener.ts
@@ -30,6 +30,7 @@
  * Maximum size of headers that are parsed; the configuration's limit is lower.
  */
 const MAXIMUM_HEADER_BYTES = 65_536;
+
 /**
  * Listens for callers before the process can serve them, and queues their
  * requests until it can. After a power loss of all hosts, callers come back
--- a/packages/gateway/src/endpoint-directory.ts
+++ b/packages/gateway/src/endpoint-directory.ts
@@ -42,7 +42,7 @@
  * Entries that disappear during a store outage are listed again within about
  * two seconds of its end; an entry still missing after this time is removed.
  */
-const LAPSE_GRACE_MILLISECONDS = 2_300;
+const UNLISTED_GRACE_MILLISECONDS = 2_300;
 
 /** Maximum time for a request to reach its endpoint, even over a full link. */
 const MAXIMUM_TRANSIT_MILLISECONDS = 500;
@@ -65,7 +65,7 @@
    * Endpoints removed from the list around a store outage, with the time of
    * removal.
    */
-  private readonly lapsed = new Map<string, number>();
+  private readonly unlisted = new Map<string, number>();
   /** Offset of the latest record of each key. */
   private readonly offsets = new Map<string, number>();
   private readonly readListeners: (() => void)[] = [];
@@ -98,7 +98,7 @@
 
   /** The endpoints of a service that may get new requests. */
   openEndpoints(service: string): readonly KnownEndpoint[] {
-    this.removeLapsed();
+    this.removeUnlisted();
     const cutoff = this.stalenessCutoff();
     this.updateStale(this.currentAsOf < cutoff);
     return this.all.filter(
@@ -194,7 +194,7 @@
   }
 
   private entryListed(entry: EndpointEntry, offset: number): void {
-    this.lapsed.delete(entry.id);
+    this.unlisted.delete(entry.id);
     const known = this.endpoints.get(entry.id);
     if (known?.entry.bornAt === entry.bornAt) {
       this.update(known, entry, offset);
@@ -225,8 +225,10 @@
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (this.health.millisecondsSinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
-      this.lapsed.set(id, now);
+    if (
+      this.health.millisecondsSinceOutage(now) < UNLISTED_GRACE_MILLISECONDS
+    ) {
+      this.unlisted.set(id, now);
       this.events.warn('unlisted endpoint kept', {endpoint: id});
       return;
     }
@@ -234,21 +236,23 @@
     this.events.info('endpoint gone', {endpoint: id});
   }
 
-  private removeLapsed(): void {
-    if (this.lapsed.size === 0) {
+  private removeUnlisted(): void {
+    if (this.unlisted.size === 0) {
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (this.health.millisecondsSinceOutage(now) < LAPSE_GRACE_MILLISECONDS) {
+    if (
+      this.health.millisecondsSinceOutage(now) < UNLISTED_GRACE_MILLISECONDS
+    ) {
       return;
     }
-    for (const id of this.lapsed.keys()) {
+    for (const id of this.unlisted.keys()) {
       this.endpoints.delete(id);
       this.events.info('endpoint gone', {
         endpoint: id,
         reason: 'not listed again after the store outage',
       });
     }
-    this.lapsed.clear();
+    this.unlisted.clear();
   }
 }
--- a/packages/gateway/src/fast-message-decoder.ts
+++ b/packages/gateway/src/fast-message-decoder.ts
@@ -21,8 +21,8 @@
  *
  * @example
  * ```ts
- * const reader = new FastMessageDecoder(BudgetRecordSchema);
- * const record = reader.read(bytes) ?? fromBinary(BudgetRecordSchema, bytes);
+ * const decoder = new FastMessageDecoder(BudgetRecordSchema);
+ * const record = decoder.decode(bytes) ?? fromBinary(BudgetRecordSchema, bytes);
  * ```
  */
 export class FastMessageDecoder<Schema extends DescMessage> {
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -27,25 +27,25 @@
   });
   private readonly durations = new Histogram({
     name: 'wisteriadeal_request_seconds',
-    help: 'From the arrival of the headers to the end, by outcome.',
+    help: 'Time from the arrival of the headers to the end of the request, by outcome.',
     labelNames: ['outcome'],
     buckets: DURATION_BUCKETS,
     registers: [this.registry],
   });
   private readonly resends = new Counter({
     name: 'wisteriadeal_resends_total',
-    help: 'Further endpoints that requests were sent to.',
+    help: 'Attempts of requests after the first one.',
     registers: [this.registry],
   });
   private readonly turns = new Histogram({
     name: 'wisteriadeal_loop_turn_seconds',
-    help: 'Work of the event loop between two looks at its sockets.',
+    help: 'Busy time of an event loop turn between two polls of the sockets.',
     buckets: LOOP_BUCKETS,
     registers: [this.registry],
   });
   private readonly unseen = new Histogram({
     name: 'wisteriadeal_unseen_wait_seconds',
-    help: 'Estimated wait of requests in the sockets before they were read.',
+    help: 'Estimated time that requests waited in the sockets before they were read.',
     buckets: LOOP_BUCKETS,
     registers: [this.registry],
   });
@@ -56,12 +56,12 @@
   });
   private readonly leftUnserved = new Counter({
     name: 'wisteriadeal_callers_left_unserved_total',
-    help: 'Callers that left before anything was done for their request.',
+    help: 'Callers that disconnected before their request was sent to an endpoint.',
     registers: [this.registry],
   });
   private readonly states = new Gauge({
     name: 'wisteriadeal_state',
-    help: 'What the process believes: one sample a name.',
+    help: 'State of the process, one sample per name.',
     labelNames: ['name'],
     registers: [this.registry],
   });
--- a/packages/gateway/src/organisation-budget.ts
+++ b/packages/gateway/src/organisation-budget.ts
@@ -161,17 +161,17 @@
     this.serveWaiting();
   }
 
-  /** Whether unreported spending makes other holders' view too old to refuse by. */
+  /** Whether so much spending is unreported that other holders would refuse wrongly. */
   get isReportDue(): boolean {
-    const untold = this.account.spent - this.reportedSpent;
-    return untold > REPORT_THRESHOLD_PART * this.prepaid;
+    const unreported = this.account.spent - this.reportedSpent;
+    return unreported > REPORT_THRESHOLD_PART * this.prepaid;
   }
 
   /** Whether the tokens not known to be spent, by any holder, are fewer than a bound. */
   isExhausted(view: BudgetView | undefined, bound: number): boolean {
     const prepaid = Math.max(view?.prepaid ?? 0, this.prepaid);
-    const untold = this.account.spent - this.reportedSpent;
-    return prepaid - (view?.spent ?? 0) - untold < bound;
+    const unreported = this.account.spent - this.reportedSpent;
+    return prepaid - (view?.spent ?? 0) - unreported < bound;
   }
 
   /** Whether the log has enough for a request and is being asked or can be asked now. */
@@ -192,13 +192,11 @@
    * refill that was requested before this request arrived does not apply to it.
    */
   isFirstWaitingDenied(view: BudgetView | undefined): boolean {
-    const {
-      requestedForWaiting: askedForWaiting,
-      firstShortfall: firstShortfall,
-    } = this;
+    const {requestedForWaiting, firstShortfall} = this;
     return (
       (view?.unallocated ?? 0) < firstShortfall ||
-      (askedForWaiting !== undefined && askedForWaiting <= firstShortfall)
+      (requestedForWaiting !== undefined &&
+        requestedForWaiting <= firstShortfall)
     );
   }
 
--- a/packages/gateway/src/request-budget.ts
+++ b/packages/gateway/src/request-budget.ts
@@ -27,13 +27,13 @@
     now: () => number,
   ): Promise<ReservePromisedResult['refusal']> {
     const startedAt = now();
-    const taken = await this.reservations.reservePromised(
+    const result = await this.reservations.reservePromised(
       this.reservation,
       limit,
     );
-    this.reservation = taken.reservation;
+    this.reservation = result.reservation;
     this.waitedMilliseconds += now() - startedAt;
-    return taken.refusal;
+    return result.refusal;
   }
 
   /**
--- a/packages/gateway/src/request-completion.ts
+++ b/packages/gateway/src/request-completion.ts
@@ -83,10 +83,10 @@
       : failureReply(502, reason);
   }
 
-  private sendLocalReply(answer: LocalReply): void {
-    this.context.caller.sendLocalReply(answer);
-    this.record.status = answer.status;
-    this.record.outcome = `own: ${answer.reason}`;
+  private sendLocalReply(reply: LocalReply): void {
+    this.context.caller.sendLocalReply(reply);
+    this.record.status = reply.status;
+    this.record.outcome = `own: ${reply.reason}`;
   }
 
   private forwardAnswer({head, body, hasLength}: BufferedAnswer): void {
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -360,11 +360,11 @@
   private refuse(
     caller: CallerExchange,
     record: RequestRecord,
-    answer: LocalReply,
+    reply: LocalReply,
   ): void {
-    caller.sendLocalReply(answer);
-    record.status = answer.status;
-    record.outcome = `own: ${answer.reason}`;
+    caller.sendLocalReply(reply);
+    record.status = reply.status;
+    record.outcome = `own: ${reply.reason}`;
   }
 
   private handleError(
--- a/packages/gateway/src/store-health.ts
+++ b/packages/gateway/src/store-health.ts
@@ -63,7 +63,7 @@
   /**
    * True while the store itself fails. Calls that time out while this host's link is
    * congested do not start an outage. Otherwise endpoints that left during that time
-   * would be kept as lapsed and would get requests.
+   * would be kept although they are no longer listed, and would get requests.
    */
   get isOutage(): boolean {
     return this.hasOutage;
