--- a/packages/gateway/src/test/budget-holder_test.ts
+++ b/packages/gateway/src/test/budget-holder_test.ts
@@ -8,9 +8,9 @@
 import {BUDGET_PARTITION} from '../budget-topics.js';
 import {HolderFleet, SCHOOL, waitUntil} from './holder-fleet.js';
 
-const PREPAID = 100_000;
-const REQUEST = 2_500;
-const LARGE_REQUEST = 30_000;
+const PREPAID_TOKENS = 100_000;
+const REQUEST_TOKENS = 2_500;
+const LARGE_REQUEST_TOKENS = 30_000;
 /** Longer than a holder's interval between two reads of the log. */
 const LONGER_THAN_POLL_MILLISECONDS = 900;
 /** Offsets between two reads of the log by an idle holder. */
@@ -23,7 +23,7 @@
 let fleet: HolderFleet;
 
 beforeEach(() => {
-  fleet = new HolderFleet(PREPAID);
+  fleet = new HolderFleet(PREPAID_TOKENS);
 });
 
 afterEach(() => {
@@ -60,11 +60,11 @@
 /** Isolates hosts from the log and waits until each has logged the failure. */
 async function isolateHosts(hosts: readonly string[]): Promise<void> {
   hosts.forEach(host => fleet.isolatedHosts.add(host));
-  const isLost = (host: string) =>
+  const isUnavailable = (host: string) =>
     fleet.events.some(
       line => line.event === 'store unavailable' && line.host === host,
     );
-  await waitUntil(() => hosts.every(isLost));
+  await waitUntil(() => hosts.every(isUnavailable));
 }
 
 /** Blocks the event loop, like a machine that is busy with other processes. */
@@ -158,12 +158,12 @@
     const successor = await fleet.start('one');
     let spent = 0;
     for (const holder of [staying, successor, staying, successor]) {
-      while (await spend(holder, REQUEST)) {
-        spent += REQUEST;
+      while (await spend(holder, REQUEST_TOKENS)) {
+        spent += REQUEST_TOKENS;
       }
     }
-    expect(spent).toBeLessThanOrEqual(PREPAID);
-    expect(spent).toBeGreaterThan(0.9 * PREPAID);
+    expect(spent).toBeLessThanOrEqual(PREPAID_TOKENS);
+    expect(spent).toBeGreaterThan(0.9 * PREPAID_TOKENS);
   });
 
   it('waits for a slow store with enough tokens and reports one without answers', async () => {
@@ -198,7 +198,7 @@
       fleet.log.faults.answerDelayMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        tokenRequest(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST_TOKENS, false),
       );
       expect(await withFakeTimers(late)).toEqual({
         refusal: BudgetRefusal.StoreUnavailable,
@@ -217,7 +217,8 @@
       const other = await withFakeTimers(fleet.start('two'));
       const haveUsualGrants = () =>
         [holder, other].every(
-          one => available(one) > 0 && available(one) < LARGE_REQUEST / 2,
+          one =>
+            available(one) > 0 && available(one) < LARGE_REQUEST_TOKENS / 2,
         );
       await withFakeTimers(waitUntil(haveUsualGrants));
       await vi.advanceTimersByTimeAsync(offsetMilliseconds);
@@ -227,13 +228,14 @@
       // borrower, and the lender returns them.
       await withFakeTimers(
         waitUntil(
-          () => haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST,
+          () =>
+            haveUsualGrants() && unallocated(holder) >= LARGE_REQUEST_TOKENS,
         ),
       );
       fleet.log.faults.answerDelayMilliseconds = 1_000;
       const late = holder.reservations.reserve(
         SCHOOL,
-        tokenRequest(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST_TOKENS, false),
       );
       expect(await withFakeTimers(late)).toEqual({
         refusal: BudgetRefusal.StoreUnavailable,
@@ -255,7 +257,9 @@
       fleet.log.faults.answerDelayMilliseconds = 200;
       await withFakeTimers(waitUntil(() => reading.mock.calls.length === 2));
       await vi.advanceTimersByTimeAsync(elapsedMilliseconds);
-      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST_TOKENS))).toBe(
+        true,
+      );
     },
   );
 
@@ -273,7 +277,9 @@
 
     it('waits for a grant during the link delay', async () => {
       // Guards against refusals while the tokens are still unallocated.
-      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST_TOKENS))).toBe(
+        true,
+      );
     });
 
     it('waits for a grant although a call has timed out', async () => {
@@ -290,7 +296,9 @@
           isLinkDelay: true,
         }),
       );
-      expect(await withFakeTimers(spend(holder, LARGE_REQUEST))).toBe(true);
+      expect(await withFakeTimers(spend(holder, LARGE_REQUEST_TOKENS))).toBe(
+        true,
+      );
     });
 
     it('refuses immediately after calls have timed out for seconds', async () => {
@@ -307,7 +315,7 @@
       const startedAt = performance.now();
       const refused = holder.reservations.reserve(
         SCHOOL,
-        tokenRequest(LARGE_REQUEST, false),
+        tokenRequest(LARGE_REQUEST_TOKENS, false),
       );
       expect(await withFakeTimers(refused)).toEqual({
         refusal: BudgetRefusal.StoreUnavailable,
@@ -319,7 +327,7 @@
       // Guards against callers that get `Retry-After` too late.
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...tokenRequest(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST_TOKENS, false),
         remainingMilliseconds: 600,
       });
       expect(await withFakeTimers(late)).toHaveProperty('refusal');
@@ -332,7 +340,7 @@
       fleet.log.faults.answerDelayMilliseconds = 5_000;
       const startedAt = performance.now();
       const late = holder.reservations.reserve(SCHOOL, {
-        ...tokenRequest(LARGE_REQUEST, false),
+        ...tokenRequest(LARGE_REQUEST_TOKENS, false),
         remainingMilliseconds: 10_000,
       });
       expect(await withFakeTimers(late)).toHaveProperty('refusal');
@@ -344,11 +352,11 @@
       await vi.advanceTimersByTimeAsync(2 * DELAY_MILLISECONDS);
       for (let step = 0; step < 20; step++) {
         await vi.advanceTimersByTimeAsync(100);
-        const begun = holder.reservations.reserve(
+        const reserved = holder.reservations.reserve(
           SCHOOL,
-          tokenRequest(REQUEST, true),
+          tokenRequest(REQUEST_TOKENS, true),
         );
-        expect(await withFakeTimers(begun)).toMatchObject({
+        expect(await withFakeTimers(reserved)).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
         });
       }
@@ -368,10 +376,12 @@
     await withFakeTimers(waitUntil(() => all.every(one => available(one) > 0)));
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     await withFakeTimers(isolateHosts(['one']));
-    expect(await withFakeTimers(spend(borrower, LARGE_REQUEST))).toBe(true);
+    expect(await withFakeTimers(spend(borrower, LARGE_REQUEST_TOKENS))).toBe(
+      true,
+    );
     await vi.advanceTimersByTimeAsync(LONGER_THAN_POLL_MILLISECONDS);
     const held = all.reduce((sum, one) => sum + available(one), 0);
-    expect(held).toBeLessThan(LARGE_REQUEST);
+    expect(held).toBeLessThan(LARGE_REQUEST_TOKENS);
   });
 
   it('finds a lender that reaches the store after several isolated ones', async () => {
@@ -443,9 +453,9 @@
   it('serves a request that arrives while the log denies a refill', async () => {
     // Guards against refusals and waits for loans although the log has the tokens.
     const holder = await fleet.start('one');
-    await waitUntil(() => available(holder) > 0.05 * PREPAID);
+    await waitUntil(() => available(holder) > 0.05 * PREPAID_TOKENS);
     fleet.log.faults.answerDelayMilliseconds = 40;
-    fleet.changeBudget(PREPAID + 1);
+    fleet.changeBudget(PREPAID_TOKENS + 1);
     await new Promise(resolve => setTimeout(resolve, 10));
     expect(await spend(holder, available(holder) + 20_000)).toBe(true);
   });
@@ -480,14 +490,14 @@
       const borrower = await fleet.start('one');
       const lender = await fleet.start('two');
       for (let request = 0; request < 4; request++) {
-        expect(await spend(lender, REQUEST)).toBe(true);
+        expect(await spend(lender, REQUEST_TOKENS)).toBe(true);
       }
       if (blockedMilliseconds > 0) {
         // Both holders' reads become due at the same time.
         blockEventLoop(LONGER_THAN_POLL_MILLISECONDS);
         blockAfterInitialReads(blockedMilliseconds);
       }
-      await waitUntil(() => available(lender) > 2 * REQUEST);
+      await waitUntil(() => available(lender) > 2 * REQUEST_TOKENS);
       // A holder learns of the others only from the log.
       await waitUntil(() => borrower.holderCount === 2);
       fleet.log.faults.isUnavailable = true;
@@ -498,9 +508,11 @@
       );
       fleet.faults.losesAnswers = true;
       const before = available(borrower) + available(lender);
-      expect(await spend(borrower, available(borrower) + REQUEST)).toBe(false);
+      expect(await spend(borrower, available(borrower) + REQUEST_TOKENS)).toBe(
+        false,
+      );
       const lost = before - available(borrower) - available(lender);
-      expect(lost).toBeGreaterThan(REQUEST);
+      expect(lost).toBeGreaterThan(REQUEST_TOKENS);
       fleet.log.faults.isUnavailable = false;
       await waitUntil(() =>
         fleet.events.some(
@@ -508,13 +520,13 @@
         ),
       );
       fleet.faults.losesAnswers = false;
-      let spent = 4 * REQUEST;
+      let spent = 4 * REQUEST_TOKENS;
       for (const holder of [borrower, lender, borrower]) {
-        while (await spend(holder, REQUEST)) {
-          spent += REQUEST;
+        while (await spend(holder, REQUEST_TOKENS)) {
+          spent += REQUEST_TOKENS;
         }
       }
-      expect(PREPAID - spent).toBeLessThanOrEqual(REQUEST);
+      expect(PREPAID_TOKENS - spent).toBeLessThanOrEqual(REQUEST_TOKENS);
     },
   );
 
@@ -523,9 +535,9 @@
     const borrower = await fleet.start('one');
     const lender = await fleet.start('two');
     for (let request = 0; request < 4; request++) {
-      expect(await spend(lender, REQUEST)).toBe(true);
+      expect(await spend(lender, REQUEST_TOKENS)).toBe(true);
     }
-    await waitUntil(() => available(lender) > 2 * REQUEST);
+    await waitUntil(() => available(lender) > 2 * REQUEST_TOKENS);
     await waitUntil(() => borrower.holderCount === 2);
     fleet.log.faults.isUnavailable = true;
     await waitUntil(() =>
@@ -535,10 +547,10 @@
     );
     fleet.link.delayMilliseconds = 200;
     fleet.faults.answerDelayMilliseconds = 300;
-    const large = available(borrower) + REQUEST;
+    const large = available(borrower) + REQUEST_TOKENS;
     expect(await spend(borrower, large)).toBe(true);
     // A lender whose late answer has come is asked again immediately.
-    const another = available(borrower) + REQUEST;
+    const another = available(borrower) + REQUEST_TOKENS;
     expect(await spend(borrower, another)).toBe(true);
     fleet.faults.answerDelayMilliseconds = 0;
     fleet.link.delayMilliseconds = 0;
@@ -551,14 +563,14 @@
         ),
       ),
     );
-    let spent = 4 * REQUEST + large + another;
+    let spent = 4 * REQUEST_TOKENS + large + another;
     for (const holder of [borrower, lender, borrower]) {
-      while (await spend(holder, REQUEST)) {
-        spent += REQUEST;
+      while (await spend(holder, REQUEST_TOKENS)) {
+        spent += REQUEST_TOKENS;
       }
     }
-    expect(spent).toBeLessThanOrEqual(PREPAID);
-    expect(PREPAID - spent).toBeLessThanOrEqual(REQUEST);
+    expect(spent).toBeLessThanOrEqual(PREPAID_TOKENS);
+    expect(PREPAID_TOKENS - spent).toBeLessThanOrEqual(REQUEST_TOKENS);
   });
 
   it('charges nothing for undelivered answers when all hosts are killed', async () => {
@@ -570,7 +582,7 @@
       for (let request = 0; request < 10; request++) {
         const result = await holder.reservations.reserve(
           SCHOOL,
-          tokenRequest(REQUEST, true),
+          tokenRequest(REQUEST_TOKENS, true),
         );
         expect(result).toMatchObject({
           reservation: {chargePoint: ChargePoint.Delivery},
@@ -598,14 +610,14 @@
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(
+    const reserved = await holder.reservations.reserve(
       SCHOOL,
       tokenRequest(bound, true),
     );
-    expect('reservation' in begun).toBe(true);
-    if ('reservation' in begun) {
+    expect('reservation' in reserved).toBe(true);
+    if ('reservation' in reserved) {
       const result = await holder.reservations.reservePromised(
-        begun.reservation,
+        reserved.reservation,
         WAIT,
       );
       expect(result.refusal).toBeUndefined();
@@ -625,7 +637,7 @@
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
     const bound = available(holder) + 20_000;
-    const begun = await holder.reservations.reserve(
+    const reserved = await holder.reservations.reserve(
       SCHOOL,
       tokenRequest(bound, true),
     );
@@ -638,9 +650,9 @@
     ).toEqual({
       refusal: BudgetRefusal.StoreUnavailable,
     });
-    if ('reservation' in begun) {
+    if ('reservation' in reserved) {
       const result = holder.reservations.reservePromised(
-        begun.reservation,
+        reserved.reservation,
         WAIT,
       );
       fleet.log.faults.isUnavailable = false;
@@ -654,14 +666,14 @@
     // answer waited for the store; later tokens must serve other requests.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
-    const begun = await holder.reservations.reserve(
+    const reserved = await holder.reservations.reserve(
       SCHOOL,
       tokenRequest(available(holder) + 20_000, true),
     );
     fleet.log.faults.isUnavailable = true;
     const leaving = new AbortController();
-    if ('reservation' in begun) {
-      const result = holder.reservations.reservePromised(begun.reservation, {
+    if ('reservation' in reserved) {
+      const result = holder.reservations.reservePromised(reserved.reservation, {
         ...WAIT,
         signal: leaving.signal,
       });
@@ -678,20 +690,20 @@
     // the next caller's request.
     const holder = await fleet.start('one');
     await waitUntil(() => available(holder) > 0);
-    const begun = await holder.reservations.reserve(
+    const reserved = await holder.reservations.reserve(
       SCHOOL,
       tokenRequest(available(holder) + 20_000, true),
     );
     const left = {...WAIT, signal: AbortSignal.abort()};
-    if ('reservation' in begun) {
+    if ('reservation' in reserved) {
       const result = await holder.reservations.reservePromised(
-        begun.reservation,
+        reserved.reservation,
         left,
       );
       expect(result.refusal).toBeDefined();
       holder.reservations.settle(result.reservation, 0);
     }
     expect(holder.describe(SCHOOL)).toMatchObject({promised: 0, waiting: 0});
-    expect(await spend(holder, REQUEST)).toBe(true);
+    expect(await spend(holder, REQUEST_TOKENS)).toBe(true);
   });
 });
--- a/packages/gateway/src/test/caller-connections_test.ts
+++ b/packages/gateway/src/test/caller-connections_test.ts
@@ -14,15 +14,15 @@
 let connections: CallerConnections;
 let callers: Socket[];
 /** For each request, whether `begin` accepted it. */
-let begun: boolean[];
+let beginResults: boolean[];
 
 beforeEach(async () => {
   callers = [];
-  begun = [];
+  beginResults = [];
   server = createServer();
   connections = new CallerConnections(server);
   server.on('request', (request, response) => {
-    begun.push(connections.begin(request, response));
+    beginResults.push(connections.begin(request, response));
   });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -119,7 +119,7 @@
     const requested = once(server, 'request');
     caller.write('TP/1.1\r\nHost: shop.example\r\n\r\n');
     await requested;
-    expect(begun).toEqual([false]);
+    expect(beginResults).toEqual([false]);
     destroy.mockRestore();
     socket.destroy();
     await drained;
--- a/packages/gateway/src/test/endpoint-exchange_test.ts
+++ b/packages/gateway/src/test/endpoint-exchange_test.ts
@@ -73,12 +73,12 @@
     // Guards against reordered chunks while a caller reads slowly.
     const exchange = await openExchange(4);
     let text = '';
-    let taking = 0;
+    let activeConsumers = 0;
     await exchange.read(async chunk => {
-      expect(++taking).toBe(1);
+      expect(++activeConsumers).toBe(1);
       await new Promise(resolve => setTimeout(resolve, 12));
       text += chunk.toString();
-      taking--;
+      activeConsumers--;
     });
     expect(text).toBe('part 1;part 2;part 3;part 4;');
     expect(exchange.isComplete).toBe(true);
--- a/packages/gateway/src/test/grant-planner_test.ts
+++ b/packages/gateway/src/test/grant-planner_test.ts
@@ -11,10 +11,10 @@
 import {OrganisationBudget} from '../organisation-budget.js';
 import {BudgetRefusal} from '../token-waiters.js';
 
-const PREPAID = 100_000;
+const PREPAID_TOKENS = 100_000;
 const POOLED_PART = 0.5;
-const BOUND = 2_500;
-const AVAILABLE = 2_400;
+const BOUND_TOKENS = 2_500;
+const AVAILABLE_TOKENS = 2_400;
 const LIMIT = {milliseconds: 1_000, refusal: () => BudgetRefusal.HeldElsewhere};
 
 describe('GrantPlanner', () => {
@@ -39,29 +39,31 @@
       new DemandSizing({pooledPart: POOLED_PART, seconds: 10}),
       POOLED_PART,
     );
-    budget = new OrganisationBudget('school', PREPAID, 1, clock);
-    budget.credit(AVAILABLE);
+    budget = new OrganisationBudget('school', PREPAID_TOKENS, 1, clock);
+    budget.credit(AVAILABLE_TOKENS);
   });
 
   it('requests only the shortfall of a waiting request from the log', async () => {
     // Guards against a denial for the whole bound, which no single share may cover.
-    const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
+    const reserved = budget.reserveWhenAvailable(BOUND_TOKENS, LIMIT);
     planner.plan(budget);
     expect(changes).toMatchObject([
-      {case: 'requested', value: {least: BOUND - AVAILABLE}},
+      {case: 'requested', value: {least: BOUND_TOKENS - AVAILABLE_TOKENS}},
     ]);
-    budget.credit(BOUND - AVAILABLE);
-    expect(await reserved).toMatchObject({reservation: {bound: BOUND}});
+    budget.credit(BOUND_TOKENS - AVAILABLE_TOKENS);
+    expect(await reserved).toMatchObject({reservation: {bound: BOUND_TOKENS}});
   });
 
   it('does not count promised tokens as available to a waiting request', async () => {
     // Guards against serving a new request with tokens promised to a running one.
-    budget.promise(AVAILABLE);
-    const reserved = budget.reserveWhenAvailable(BOUND, LIMIT);
+    budget.promise(AVAILABLE_TOKENS);
+    const reserved = budget.reserveWhenAvailable(BOUND_TOKENS, LIMIT);
     planner.plan(budget);
-    expect(changes).toMatchObject([{case: 'requested', value: {least: BOUND}}]);
-    budget.credit(BOUND);
-    expect(await reserved).toMatchObject({reservation: {bound: BOUND}});
-    expect(budget.account.available).toBe(AVAILABLE);
+    expect(changes).toMatchObject([
+      {case: 'requested', value: {least: BOUND_TOKENS}},
+    ]);
+    budget.credit(BOUND_TOKENS);
+    expect(await reserved).toMatchObject({reservation: {bound: BOUND_TOKENS}});
+    expect(budget.account.available).toBe(AVAILABLE_TOKENS);
   });
 });
--- a/packages/gateway/src/test/large-fleet_test.ts
+++ b/packages/gateway/src/test/large-fleet_test.ts
@@ -4,9 +4,9 @@
 import {HolderFleet, SCHOOL} from './holder-fleet.js';
 
 const HOSTS = 61;
-const PREPAID = 2_800_000;
-const BOUND = 12_000;
-const USED = 200;
+const PREPAID_TOKENS = 2_800_000;
+const BOUND_TOKENS = 12_000;
+const USED_TOKENS = 200;
 const ANSWER_MILLISECONDS = 40;
 const BETWEEN_REQUESTS_MILLISECONDS = 250;
 /** Pause before the load, which then starts once the slow store answered every host. */
@@ -24,7 +24,7 @@
 let fleet: HolderFleet;
 
 beforeEach(() => {
-  fleet = new HolderFleet(PREPAID);
+  fleet = new HolderFleet(PREPAID_TOKENS);
 });
 
 afterEach(() => {
@@ -38,14 +38,14 @@
 /** Runs one request from its dispatch to its end; returns whether it was served. */
 async function serve(holder: BudgetHolder): Promise<boolean> {
   const {reservations} = holder;
-  const request = {bound: BOUND, mayPromise: true};
-  const begun = await reservations.reserve(SCHOOL, request);
-  if ('refusal' in begun) {
+  const request = {bound: BOUND_TOKENS, mayPromise: true};
+  const reserved = await reservations.reserve(SCHOOL, request);
+  if ('refusal' in reserved) {
     return false;
   }
-  const result = await reservations.reservePromised(begun.reservation, WAIT);
+  const result = await reservations.reservePromised(reserved.reservation, WAIT);
   const isServed = result.refusal === undefined;
-  reservations.settle(result.reservation, isServed ? USED : 0);
+  reservations.settle(result.reservation, isServed ? USED_TOKENS : 0);
   return isServed;
 }
 
--- a/packages/gateway/src/test/loan-peers_test.ts
+++ b/packages/gateway/src/test/loan-peers_test.ts
@@ -128,10 +128,10 @@
 });
 
 describe('ConnectLoanPeers behind a congested link', () => {
-  const BASE_TIMEOUT = 120;
-  const DELAY = 400;
-  const MAXIMUM_TIMEOUT = 1_000;
-  const LATE_TIMEOUT = 5_000;
+  const BASE_TIMEOUT_MILLISECONDS = 120;
+  const DELAY_MILLISECONDS = 400;
+  const MAXIMUM_TIMEOUT_MILLISECONDS = 1_000;
+  const LATE_TIMEOUT_MILLISECONDS = 5_000;
   let holder: DeferredLoanHolder;
   let server: LoanServer;
   let link: FakeHostLink;
@@ -166,29 +166,35 @@
 
   it('extends the timeout by the link delay of the connection and the answer', async () => {
     // Guards against a delayed host that treats its lenders as unresponsive.
-    link.delayMilliseconds = DELAY;
-    expect(await borrowAfter(BASE_TIMEOUT + 2 * DELAY - 1)).toBe(5);
-    expect(await borrowAfter(BASE_TIMEOUT + DELAY - 1)).toBe(5);
-    expect(await borrowAfter(BASE_TIMEOUT + DELAY)).toBeUndefined();
+    link.delayMilliseconds = DELAY_MILLISECONDS;
+    expect(
+      await borrowAfter(BASE_TIMEOUT_MILLISECONDS + 2 * DELAY_MILLISECONDS - 1),
+    ).toBe(5);
+    expect(
+      await borrowAfter(BASE_TIMEOUT_MILLISECONDS + DELAY_MILLISECONDS - 1),
+    ).toBe(5);
+    expect(
+      await borrowAfter(BASE_TIMEOUT_MILLISECONDS + DELAY_MILLISECONDS),
+    ).toBeUndefined();
   });
 
   it('waits for at most one second', async () => {
     // Guards against a frozen lender that delays all loans of an organisation.
     link.delayMilliseconds = 2_000;
-    expect(await borrowAfter(MAXIMUM_TIMEOUT - 1)).toBe(5);
-    expect(await borrowAfter(MAXIMUM_TIMEOUT)).toBeUndefined();
+    expect(await borrowAfter(MAXIMUM_TIMEOUT_MILLISECONDS - 1)).toBe(5);
+    expect(await borrowAfter(MAXIMUM_TIMEOUT_MILLISECONDS)).toBeUndefined();
   });
 
   it('delivers a loan that its own link delays beyond the timeout', async () => {
     // Guards against tokens that stay lent because the borrower closed the connection.
-    link.delayMilliseconds = DELAY;
+    link.delayMilliseconds = DELAY_MILLISECONDS;
     const connecting = vi.spyOn(Agent.prototype, 'createConnection');
     const late: Promise<number>[] = [];
     const loan = peers.borrow(server.address, REQUEST, answer => {
       late.push(answer);
     });
     await holder.waitForRequest();
-    vi.advanceTimersByTime(MAXIMUM_TIMEOUT);
+    vi.advanceTimersByTime(MAXIMUM_TIMEOUT_MILLISECONDS);
     expect(await loan).toBeUndefined();
     await holder.answer();
     expect(await Promise.all(late)).toEqual([5]);
@@ -199,26 +205,26 @@
 
   it('abandons a loan that its own link delays for several seconds', async () => {
     // Guards against connections to frozen lenders that are kept forever.
-    link.delayMilliseconds = DELAY;
+    link.delayMilliseconds = DELAY_MILLISECONDS;
     const late: Promise<number>[] = [];
     const loan = peers.borrow(server.address, REQUEST, answer => {
       late.push(answer);
     });
     await holder.waitForRequest();
-    vi.advanceTimersByTime(MAXIMUM_TIMEOUT);
+    vi.advanceTimersByTime(MAXIMUM_TIMEOUT_MILLISECONDS);
     expect(await loan).toBeUndefined();
     expect(late).toHaveLength(1);
-    vi.advanceTimersByTime(LATE_TIMEOUT);
+    vi.advanceTimersByTime(LATE_TIMEOUT_MILLISECONDS);
     await expect(Promise.all(late)).rejects.toBeInstanceOf(StepError);
   });
 
   it('restores the usual timeout once the link is no longer congested', async () => {
     // Guards against requests that wait for unresponsive lenders.
-    link.delayMilliseconds = DELAY;
+    link.delayMilliseconds = DELAY_MILLISECONDS;
     expect(await borrowAfter(0)).toBe(5);
     link.delayMilliseconds = 0;
-    expect(await borrowAfter(BASE_TIMEOUT - 1)).toBe(5);
-    expect(await borrowAfter(BASE_TIMEOUT)).toBeUndefined();
-    expect(await borrowAfter(BASE_TIMEOUT)).toBeUndefined();
+    expect(await borrowAfter(BASE_TIMEOUT_MILLISECONDS - 1)).toBe(5);
+    expect(await borrowAfter(BASE_TIMEOUT_MILLISECONDS)).toBeUndefined();
+    expect(await borrowAfter(BASE_TIMEOUT_MILLISECONDS)).toBeUndefined();
   });
 });
--- a/packages/gateway/src/test/start-gate_test.ts
+++ b/packages/gateway/src/test/start-gate_test.ts
@@ -20,7 +20,7 @@
 });
 
 describe('StartGate', () => {
-  it('holds requests until all needs are met', async () => {
+  it('holds requests until all requirements are met', async () => {
     // Guards against refusing a caller for lack of a configuration when its
     // request arrives just before the store's first answer.
     gate.openAfter(400);
--- a/packages/gateway/src/test/store-health_test.ts
+++ b/packages/gateway/src/test/store-health_test.ts
@@ -175,7 +175,7 @@
     }
   }
 
-  function stillLost(): readonly Record<string, unknown>[] {
+  function stillUnavailableLines(): readonly Record<string, unknown>[] {
     return lines.filter(({event}) => event === 'store still unavailable');
   }
 
@@ -185,7 +185,7 @@
     expect(
       lines.filter(({event}) => event === 'store unavailable'),
     ).toHaveLength(1);
-    expect(stillLost()).toMatchObject([
+    expect(stillUnavailableLines()).toMatchObject([
       {
         topic: 'budgets',
         unavailableMilliseconds: 2_000,
@@ -205,10 +205,9 @@
     health.failed(3_000, timeout);
     link.delayMilliseconds = 0;
     health.failed(5_000, timeout);
-    expect(stillLost().map(({isLinkDelay}) => isLinkDelay)).toEqual([
-      true,
-      false,
-    ]);
+    expect(stillUnavailableLines().map(({isLinkDelay}) => isLinkDelay)).toEqual(
+      [true, false],
+    );
   });
 
   it('resets the time and the count of failures after an answer', () => {
@@ -216,7 +215,7 @@
     failEach(500, 1_000, 2_500);
     health.answered(2_600);
     failEach(500, 3_000, 5_000);
-    expect(stillLost()).toMatchObject([
+    expect(stillUnavailableLines()).toMatchObject([
       {unavailableMilliseconds: 2_000, failures: 5},
     ]);
   });
