--- a/packages/gateway/src/bill-writer.ts
+++ b/packages/gateway/src/bill-writer.ts
@@ -37,7 +37,7 @@
     private readonly events: EventLog,
   ) {}
 
-  /** Queues a bill, which is written within about two seconds; drops it if full. */
+  /** Queues a bill, which is written within about two seconds, or drops it if the queue is full. */
   add(bill: NewBill): void {
     if (this.queue.length >= MAXIMUM_QUEUED_BILLS) {
       this.droppedBills++;
--- a/packages/gateway/src/endpoint-entry.ts
+++ b/packages/gateway/src/endpoint-entry.ts
@@ -9,6 +9,7 @@
   readonly address: string;
   readonly port: number;
   readonly dataCenter: string;
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   /** Whether the endpoint is about to leave and gets no new requests. */
   readonly isLeaving: boolean;
